--- a/bench/office_bench.cpp
+++ b/bench/office_bench.cpp
@@ -2,10 +2,10 @@
 // always goes direct, and the pieces of the signalling by themselves. All peers are simulated here.
 
 #include <benchmark/benchmark.h>
+#include <malloc.h>
 
 #include <boost/asio/io_context.hpp>
 #include <deque>
-#include <malloc.h>
 
 #include "net/real.hpp"
 #include "office/office.hpp"
@@ -216,7 +216,8 @@
     }
     const std::size_t after = ::mallinfo2().uordblks;
     const auto standing = static_cast<double>(bench->office.standing());
-    const auto others = static_cast<double>(bench->callers.endpoint.calls() + bench->far.endpoint.calls() - callsBefore);
+    const auto others =
+        static_cast<double>(bench->callers.endpoint.calls() + bench->far.endpoint.calls() - callsBefore);
     state.counters["standing"] = standing;
     state.counters["bytes_a_session_with_far_ends"] = static_cast<double>(after - before) / standing;
     state.counters["far_end_calls_a_session"] = others / standing;
--- a/include/thistlefold/controller.hpp
+++ b/include/thistlefold/controller.hpp
@@ -39,8 +39,8 @@
   virtual void incoming(Session& session) = 0;
   virtual void accepted(Session& session, Span postDialDelay) = 0;
   /// `farProcessor`: a turn-back because of the processor beyond. `toldWait`: none if none was named.
-  virtual void ended(Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor,
-                     Span toldWait, bool final) = 0;
+  virtual void ended(Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor, Span toldWait,
+                     bool final) = 0;
   virtual void abandoned(Session& session) = 0;
 };
 
--- a/include/thistlefold/exchange.hpp
+++ b/include/thistlefold/exchange.hpp
@@ -33,17 +33,17 @@
   Instant started = Instant::longAgo();
   Usual usual;  // when it started; not known where this office had not run for long enough
 
-  double freeCircuits = 0;                                  // of the group between here and there
-  double circuits = -1;                                     // below zero: not told yet
-  std::unordered_map<const Exchange*, FarLeg> farLegs;      // by destination; looked up, never walked
+  double freeCircuits = 0;                              // of the group between here and there
+  double circuits = -1;                                 // below zero: not told yet
+  std::unordered_map<const Exchange*, FarLeg> farLegs;  // by destination; looked up, never walked
 
-  Samples<bool, 12> answered;           // outcomes as a destination: answered in any way, or not
-  Samples<bool, 12> relayed;            // outcomes as a tandem
+  Samples<bool, 12> answered;              // outcomes as a destination: answered in any way, or not
+  Samples<bool, 12> relayed;               // outcomes as a tandem
   Instant doubtedAt = Instant::longAgo();  // a direct session went unanswered or was cut, none was answered since
-  Samples<Span, 8> postDialDelays;      // of sessions that stood
-  Samples<double, 16> canTake;          // set-ups a second that its processor said it can take
-  Samples<Instant, 128> sent;           // INVITEs that went to or through it
-  std::vector<const Session*> ringing;  // INVITEs out, oldest first
+  Samples<Span, 8> postDialDelays;         // of sessions that stood
+  Samples<double, 16> canTake;             // set-ups a second that its processor said it can take
+  Samples<Instant, 128> sent;              // INVITEs that went to or through it
+  std::vector<const Session*> ringing;     // INVITEs out, oldest first
   Instant heldUntil = Instant::longAgo();
   Instant lastTrial = Instant::longAgo();
 };
--- a/include/thistlefold/session.hpp
+++ b/include/thistlefold/session.hpp
@@ -20,9 +20,9 @@
   bool transit = false;
   bool wasCut = false;
 
-  Instant dialled;  // when the first try for it came
-  Instant due;      // when it is to be looked at next
-  double lot = 0;   // drawn once, from 0 to below 1
+  Instant dialled;     // when the first try for it came
+  Instant due;         // when it is to be looked at next
+  double lot = 0;      // drawn once, from 0 to below 1
   bool taken = false;  // told of; a second telling changes nothing
   bool over = false;
   bool standing = false;
--- a/include/thistlefold/time.hpp
+++ b/include/thistlefold/time.hpp
@@ -19,9 +19,7 @@
   friend constexpr Span operator+(Span a, Span b) { return Span(a.us_ + b.us_); }
   friend constexpr Span operator-(Span a, Span b) { return Span(a.us_ - b.us_); }
   friend constexpr Span operator*(Span a, double by) { return ms(a.ms() * by); }
-  friend constexpr double operator/(Span a, Span b) {
-    return static_cast<double>(a.us_) / static_cast<double>(b.us_);
-  }
+  friend constexpr double operator/(Span a, Span b) { return static_cast<double>(a.us_) / static_cast<double>(b.us_); }
 
  private:
   friend class Instant;
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -56,7 +56,7 @@
   bool over = false, mayBeHeld = false;
   bool left = false;  // by the sender's own word
   bool arrived = false;
-  bool killed = false;  // over, because the office that had taken it was killed
+  bool killed = false;   // over, because the office that had taken it was killed
   bool counted = false;  // its circuits are out
   bool stood = false;
   int answerSeq = -1;  // of the ANSWER that arrived, heard or not
@@ -70,7 +70,7 @@
 struct CrossedLeg {
   Crossing crossing;
   int from, life;
-  int to, toLife = -1;  // -1: it reached nobody
+  int to, toLife = -1;    // -1: it reached nobody
   bool stood = false;     // heard by the sender
   bool answered = false;  // said by the other end
 };
@@ -196,9 +196,8 @@
   }
 
   static bool within(const std::vector<std::pair<Instant, Instant>>& spans, Instant from, Instant to) {
-    return std::any_of(spans.begin(), spans.end(), [&](const auto& span) {
-      return span.first <= to && span.second >= from;
-    });
+    return std::any_of(spans.begin(), spans.end(),
+                       [&](const auto& span) { return span.first <= to && span.second >= from; });
   }
 
   // ---- Rule 1
@@ -269,10 +268,11 @@
     one.finalSeq = frame.oseq;
     one.stood = answer;
     if (one.session != 0) answered_.insert({office, one.session});
-    if (now_ > one.deadline + slack_.answer && !within(frozen_[static_cast<std::size_t>(office)], one.delivered, now_)) {
-      breach(1, one.session, "office " + name(office) + " gave its final answer " +
-                                 std::to_string(static_cast<long>((now_ - one.deadline).ms())) +
-                                 " ms after the caller's limit");
+    if (now_ > one.deadline + slack_.answer &&
+        !within(frozen_[static_cast<std::size_t>(office)], one.delivered, now_)) {
+      breach(1, one.session,
+             "office " + name(office) + " gave its final answer " +
+                 std::to_string(static_cast<long>((now_ - one.deadline).ms())) + " ms after the caller's limit");
     }
   }
 
@@ -307,8 +307,9 @@
       return;
     }
     ++found_.unanswered;
-    breach(1, one.session, "office " + name(one.office) + " gave no final answer to a try that reached it " +
-                               std::to_string(static_cast<long>((one.delivered - begin_).ms())) + " ms into the day");
+    breach(1, one.session,
+           "office " + name(one.office) + " gave no final answer to a try that reached it " +
+               std::to_string(static_cast<long>((one.delivered - begin_).ms())) + " ms into the day");
   }
 
   static std::uint64_t hash(const Packet& packet) {
@@ -378,9 +379,10 @@
       if (!earlier.over) {
         breach(2, session, "office " + name(from) + " sent an INVITE to " + name(to) + " while another was out");
       } else if (earlier.mayBeHeld && !earlier.stood && now_ - earlier.overAt + slack_.stamp < fleet_.data.clearWait) {
-        breach(5, session, "office " + name(from) + " sent the session again " +
-                               std::to_string(static_cast<long>((now_ - earlier.overAt).ms())) +
-                               " ms after an INVITE that was given up or reset");
+        breach(5, session,
+               "office " + name(from) + " sent the session again " +
+                   std::to_string(static_cast<long>((now_ - earlier.overAt).ms())) +
+                   " ms after an INVITE that was given up or reset");
       }
     }
     if (answered_.contains({from, session})) {
@@ -403,8 +405,7 @@
     all.push_back(one);
     byCall_[{from, packet.to, frame.source}] = session;
     checkTold(from, to, session);
-    if (frame.elements.towards && *frame.elements.towards != to &&
-        *frame.elements.towards < fleet_.places.size()) {
+    if (frame.elements.towards && *frame.elements.towards != to && *frame.elements.towards < fleet_.places.size()) {
       checkTold(from, *frame.elements.towards, session);
     }
   }
@@ -441,9 +442,10 @@
     for (const auto& [from, to] : frozen_[static_cast<std::size_t>(office)]) {
       if (told.since >= from && told.since <= to && now_ <= to + slack_.stamp) return;
     }
-    breach(3, session, "office " + name(office) + " sent to " + name(place) + " " +
-                           std::to_string(static_cast<long>((now_ - told.since).ms())) +
-                           " ms after it was told that the exchange drains or is gone");
+    breach(3, session,
+           "office " + name(office) + " sent to " + name(place) + " " +
+               std::to_string(static_cast<long>((now_ - told.since).ms())) +
+               " ms after it was told that the exchange drains or is gone");
   }
 
   Invite* find(int office, Address to, std::uint16_t number) {
@@ -586,8 +588,8 @@
         << (f.broken[rule] == 0 ? "kept" : "BROKEN " + std::to_string(f.broken[rule]) + " times") << '\n';
   }
   for (const Breach& one : f.breaches) {
-    out << std::right << std::setw(9) << std::setprecision(3) << one.atMs / 1000 << " s  rule " << one.rule << "  session "
-        << std::hex << one.session << std::dec << "  " << one.text << '\n';
+    out << std::right << std::setw(9) << std::setprecision(3) << one.atMs / 1000 << " s  rule " << one.rule
+        << "  session " << std::hex << one.session << std::dec << "  " << one.text << '\n';
   }
   return out.str();
 }
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -37,8 +37,8 @@
   /// Circuits out by ordered pair of zones, at each change.
   std::map<std::pair<std::string, std::string>, std::vector<std::pair<Instant, int>>> out;
   std::map<std::pair<std::string, std::string>, int> peaks;  // most circuits out at once, by ordered pair of zones
-  std::vector<Breach> breaches;  // the first hundred, in order of time
-  std::uint64_t broken[6] = {};  // by rule
+  std::vector<Breach> breaches;                              // the first hundred, in order of time
+  std::uint64_t broken[6] = {};                              // by rule
   // Tries of callers that reached an office, by how they were answered.
   std::uint64_t tries = 0, stood = 0, refused = 0, callerLeft = 0, officeDown = 0, unanswered = 0, unreached = 0;
   std::uint64_t invites = 0, twoLeg = 0, datagrams = 0, lost = 0;
@@ -49,15 +49,16 @@
   }
 };
 
-/// How far what an office did and what the capture says of it may lie apart. The defaults are for sockets: there the relay
-/// stamps what is sent and delivered, so that two frames of one office lie a few scheduling slices further apart or closer
-/// together than it meant them, and an office that is busy answers a little after the limit that it counts from its own
-/// receipt. On a virtual clock they would hide breaches.
+/// How far what an office did and what the capture says of it may lie apart. The defaults are for sockets: there the
+/// relay stamps what is sent and delivered, so that two frames of one office lie a few scheduling slices further apart
+/// or closer together than it meant them, and an office that is busy answers a little after the limit that it counts
+/// from its own receipt. On a virtual clock they would hide breaches.
 struct Slack {
   Span stamp = Span::ms(15);
   Span answer = Span::ms(100);
 };
-/// The shortest alarm of the module is a millisecond, so a session whose limit lies between two is answered at the later.
+/// The shortest alarm of the module is a millisecond, so a session whose limit lies between two is answered at the
+/// later.
 inline constexpr Slack kVirtualSlack{Span::none(), Span::ms(1)};
 
 /// Throws std::runtime_error where the capture can't be read.
--- a/src/command/audit.cpp
+++ b/src/command/audit.cpp
@@ -1,7 +1,8 @@
+#include "audit/audit.hpp"
+
 #include <charconv>
 #include <iostream>
 
-#include "audit/audit.hpp"
 #include "audit/ladder.hpp"
 #include "command/commands.hpp"
 #include "settings/files.hpp"
@@ -17,7 +18,8 @@
   auto wanted = std::make_shared<Wanted>();
   command->add_option("CAPTURE", wanted->capture, "a capture that `thistlefold day` wrote")->required();
   command->add_option("FLEET", wanted->fleet, "the fleet file that lies beside it (identities.sexp)")->required();
-  command->add_option("--session", wanted->session, "print all frames of this session (hex, as the audit names it); `list` names all");
+  command->add_option("--session", wanted->session,
+                      "print all frames of this session (hex, as the audit names it); `list` names all");
   command->add_flag("--json", wanted->json, "the findings as JSON");
   command->callback([=, &status] {
     try {
--- a/src/command/dimension.cpp
+++ b/src/command/dimension.cpp
@@ -88,15 +88,18 @@
     json::array groups, services;
     for (std::size_t g = 0; g < plan.mesh.groups.size(); ++g) {
       const auto& group = plan.mesh.groups[g];
-      json::object one{{"a", name(group.a)}, {"b", name(group.b)}, {"circuits", group.circuits}, {"in_use", loss.use[g]}};
+      json::object one{
+          {"a", name(group.a)}, {"b", name(group.b)}, {"circuits", group.circuits}, {"in_use", loss.use[g]}};
       if (before != nullptr) one["before"] = (*before)[g];
       if (why != nullptr) one["why"] = (*why)[g];
       groups.push_back(std::move(one));
     }
     for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-      services.push_back(json::object{{"service", fleet.offers[s].name}, {"lost", loss.service[s]}, {"worst_pair", loss.worst[s]}});
+      services.push_back(
+          json::object{{"service", fleet.offers[s].name}, {"lost", loss.service[s]}, {"worst_pair", loss.worst[s]}});
     }
-    std::cout << json::serialize(json::object{{"services", services}, {"groups", groups}, {"settled", loss.settled}}) << '\n';
+    std::cout << json::serialize(json::object{{"services", services}, {"groups", groups}, {"settled", loss.settled}})
+              << '\n';
     return;
   }
   if (wanted.csv) std::cout << "a,b,before,circuits,in_use,why\n";
@@ -109,30 +112,34 @@
     const auto& group = plan.mesh.groups[g];
     const std::string old = before != nullptr ? std::to_string((*before)[g]) : "";
     if (wanted.csv) {
-      std::cout << name(group.a) << ',' << name(group.b) << ',' << old << ',' << group.circuits << ',' << std::setprecision(2)
-                << loss.use[g] << ",\"" << (why != nullptr ? (*why)[g] : "") << "\"\n";
+      std::cout << name(group.a) << ',' << name(group.b) << ',' << old << ',' << group.circuits << ','
+                << std::setprecision(2) << loss.use[g] << ",\"" << (why != nullptr ? (*why)[g] : "") << "\"\n";
     } else {
-      std::cout << std::left << std::setw(14) << name(group.a) << std::setw(14) << name(group.b) << std::right << std::setw(8)
-                << old << std::setw(10) << group.circuits << std::setw(9) << std::setprecision(2) << loss.use[g]
-                << (why != nullptr ? "  " + (*why)[g] : "") << '\n';
+      std::cout << std::left << std::setw(14) << name(group.a) << std::setw(14) << name(group.b) << std::right
+                << std::setw(8) << old << std::setw(10) << group.circuits << std::setw(9) << std::setprecision(2)
+                << loss.use[g] << (why != nullptr ? "  " + (*why)[g] : "") << '\n';
     }
   }
   if (wanted.csv) return;
   for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-    std::cout << fleet.offers[s].name << ": lost " << std::setprecision(4) << loss.service[s] << ", worst pair " << loss.worst[s]
-              << '\n';
+    std::cout << fleet.offers[s].name << ": lost " << std::setprecision(4) << loss.service[s] << ", worst pair "
+              << loss.worst[s] << '\n';
   }
-  if (!loss.settled) std::cout << "the rounds did not settle: overflow feeds on itself here, take the losses for too low\n";
+  if (!loss.settled)
+    std::cout << "the rounds did not settle: overflow feeds on itself here, take the losses for too low\n";
 }
 
 }  // namespace
 
 void addDimension(CLI::App& app, int& status) {
-  auto* dimension = app.add_subcommand("dimension", "How many circuits trunk groups want, worked out from offered loads");
+  auto* dimension =
+      app.add_subcommand("dimension", "How many circuits trunk groups want, worked out from offered loads");
   dimension->require_subcommand(1);
   const auto common = [](CLI::App* command, const std::shared_ptr<Wanted>& wanted) {
     command->add_option("FLEET", wanted->fleet, "the fleet file; groups may only be where it has some")->required();
-    command->add_option("LOADS", wanted->loads, "the loads file: (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE P) ...)")
+    command
+        ->add_option("LOADS", wanted->loads,
+                     "the loads file: (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE P) ...)")
         ->required();
     auto* csv = command->add_flag("--csv", wanted->csv, "the groups as comma-separated lines");
     command->add_flag("--json", wanted->json, "as JSON")->excludes(csv);
@@ -164,7 +171,8 @@
   auto of = std::make_shared<Wanted>();
   auto* advise = dimension->add_subcommand("advise", "The cheapest sizes found that lose no more than is wished");
   common(advise, of);
-  advise->add_option("--loss", of->losses, "SERVICE=SHARE lost at most of all that is offered; 0.01 where not said; several");
+  advise->add_option("--loss", of->losses,
+                     "SERVICE=SHARE lost at most of all that is offered; 0.01 where not said; several");
   advise->add_option("--pair", of->pair, "no pair of exchanges loses more than so many times that")
       ->check(CLI::Range(1.0, 1000.0))
       ->capture_default_str();
@@ -173,7 +181,8 @@
       ->capture_default_str();
   advise->add_option("--out", of->out, "writes the fleet file with these sizes there");
   advise->footer(
-      "Sessions go direct while the group has room, else over tandems under the cap (docs/dimensioning.md). Loads are taken\n"
+      "Sessions go direct while the group has room, else over tandems under the cap (docs/dimensioning.md). Loads are "
+      "taken\n"
       "for Poisson. Status 1 if no plan was found that meets what is wished.");
   advise->callback([=, &status] {
     guarded("advise", [&] {
@@ -193,11 +202,12 @@
       }
       tell(plan, advice.expected, *of, &before, &advice.why);
       if (!of->csv && !of->json) {
-        std::cout << "price " << std::setprecision(0) << advice.price << ", before " << priceBefore << "; " << advice.tried
-                  << " meshes worked out\n";
+        std::cout << "price " << std::setprecision(0) << advice.price << ", before " << priceBefore << "; "
+                  << advice.tried << " meshes worked out\n";
       }
       if (!advice.met) {
-        std::cerr << "thistlefold dimension advise: what is wished is not met: some pair has no way that more circuits would help\n";
+        std::cerr << "thistlefold dimension advise: what is wished is not met: some pair has no way that more circuits "
+                     "would help\n";
         status = 1;
         return;
       }
--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -26,11 +26,11 @@
   /// Attends to the station until stop() or the port fails. Throws std::runtime_error if the station did.
   void run(Station& station) {
     std::string failed;
-    attendance_ = std::make_unique<net::Attendance>(context_.get_executor(), station, *port_, *clock_,
-                                                    [&](const char* what) {
-                                                      failed = what;
-                                                      context_.stop();
-                                                    });
+    attendance_ =
+        std::make_unique<net::Attendance>(context_.get_executor(), station, *port_, *clock_, [&](const char* what) {
+          failed = what;
+          context_.stop();
+        });
     context_.run();
     port_->close();
     attendance_.reset();
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -126,7 +126,8 @@
   auto path = std::make_shared<std::string>();
   command->add_option("FILE", *path, "the configuration")->envname("PROXY_CONFIG")->required();
   command->footer(
-      "SIGTERM: what is open is finished, then it ends. SIGHUP: the configuration is read anew; the bulletin's address\n"
+      "SIGTERM: what is open is finished, then it ends. SIGHUP: the configuration is read anew; the bulletin's "
+      "address\n"
       "and what is known of it are taken, all else stays.");
   command->callback([=, &status] { status = node(*path); });
 }
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -57,7 +57,7 @@
     static constexpr std::string_view kEvents[] = {"taken", "invited",   "stood",     "ended", "refused",
                                                    "cut",   "peer-lost", "peer-back", "listed"};
     const bool session = one.what <= What::cut;
-    say(session                       ? spdlog::level::debug
+    say(session                      ? spdlog::level::debug
         : one.what == What::peerLost ? spdlog::level::warn
                                      : spdlog::level::info,
         kEvents[static_cast<std::size_t>(one.what)], one.session, one.exchange, one.reason);
@@ -129,7 +129,8 @@
   };
   Counter counter(office, rereadBudgets);
 
-  asio::signal_set ends(host.context(), SIGTERM, SIGINT), levels(host.context(), SIGUSR1), reread(host.context(), SIGHUP);
+  asio::signal_set ends(host.context(), SIGTERM, SIGINT), levels(host.context(), SIGUSR1),
+      reread(host.context(), SIGHUP);
   const auto untilStopped = [&]() -> asio::awaitable<void> {
     const Instant latest = host.clock().now() + kStopWithin;
     const auto alarm = host.clock().alarm();
@@ -182,7 +183,8 @@
   command->add_option("FILE", *path, "the office file")->required();
   command->footer(
       "Prints `listening ADDRESS:PORT` when it takes calls. SIGTERM: takes nothing new, ends all it holds with one\n"
-      "answer each, gone within two seconds; status 0 if all was confirmed. SIGUSR1: log level between info and debug.\n"
+      "answer each, gone within two seconds; status 0 if all was confirmed. SIGUSR1: log level between info and "
+      "debug.\n"
       "SIGHUP: the fleet file's budgets between zones are read anew.");
   command->callback([=, &status] {
     try {
--- a/src/command/standins.cpp
+++ b/src/command/standins.cpp
@@ -144,7 +144,9 @@
   for (Dial& dial : dials) {
     dial.at = begin + (dial.at - Instant());
     if (only < 0) continue;
-    if (plan.fleet.destination(dial.number) == only) dial.number = plan.fleet.places[static_cast<std::size_t>(dial.office)].numbers + dial.number.substr(dial.number.size() - 4);
+    if (plan.fleet.destination(dial.number) == only)
+      dial.number =
+          plan.fleet.places[static_cast<std::size_t>(dial.office)].numbers + dial.number.substr(dial.number.size() - 4);
     dial.office = only;
     if (plan.fleet.destination(dial.number) == only) {
       dial.number = plan.fleet.places[only == 0 ? 1 : 0].numbers + dial.number.substr(dial.number.size() - 4);
@@ -176,16 +178,18 @@
   std::vector<float> delays = callers.delays();
   std::sort(delays.begin(), delays.end());
   const auto at = [&](double share) {
-    return delays.empty() ? 0.0 : static_cast<double>(delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))]);
+    return delays.empty()
+               ? 0.0
+               : static_cast<double>(delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))]);
   };
   if (json) {
-    std::cout << "{\"offered\":" << offered << ",\"stood\":" << stood << ",\"late\":" << late << ",\"refused\":" << refused
-              << ",\"failed\":" << failed << ",\"cut\":" << cut << ",\"p50_ms\":" << at(0.5) << ",\"p99_ms\":" << at(0.99)
-              << ",\"p999_ms\":" << at(0.999) << "}\n";
+    std::cout << "{\"offered\":" << offered << ",\"stood\":" << stood << ",\"late\":" << late
+              << ",\"refused\":" << refused << ",\"failed\":" << failed << ",\"cut\":" << cut
+              << ",\"p50_ms\":" << at(0.5) << ",\"p99_ms\":" << at(0.99) << ",\"p999_ms\":" << at(0.999) << "}\n";
   } else {
-    std::cout << "offered " << offered << ", stood " << stood << ", late " << late << ", refused " << refused << ", failed "
-              << failed << ", cut " << cut << "\npost-dial delay p50 " << at(0.5) << " ms, p99 " << at(0.99) << " ms, p99.9 "
-              << at(0.999) << " ms\n";
+    std::cout << "offered " << offered << ", stood " << stood << ", late " << late << ", refused " << refused
+              << ", failed " << failed << ", cut " << cut << "\npost-dial delay p50 " << at(0.5) << " ms, p99 "
+              << at(0.99) << " ms, p99.9 " << at(0.999) << " ms\n";
   }
   return failed == 0 && callers.active() == 0 ? 0 : 1;
 }
@@ -210,20 +214,21 @@
     guarded(status, [&] { return exchange(wanted->fleet, wanted->name, wanted->cold, wanted->seconds); });
   });
 
-  auto* list = app.add_subcommand("directory", "Run a stand-in for the directory that tells offices which exchanges run");
+  auto* list =
+      app.add_subcommand("directory", "Run a stand-in for the directory that tells offices which exchanges run");
   list->add_option("FLEET", wanted->fleet, "the fleet file")->required();
   list->add_option("--states", wanted->states, "a file (states (NAME ready|draining|gone) ...), read again at SIGHUP");
   list->add_option("--for", wanted->seconds, "stop by itself after so many seconds");
-  list->callback([=, &status] {
-    guarded(status, [&] { return directory(wanted->fleet, wanted->states, wanted->seconds); });
-  });
+  list->callback(
+      [=, &status] { guarded(status, [&] { return directory(wanted->fleet, wanted->states, wanted->seconds); }); });
 
   auto* many = app.add_subcommand("load", "Dial a running fleet as many callers do, and say how it went");
   many->add_option("FLEET", wanted->fleet, "the fleet file")->required();
   many->add_option("--office", wanted->name, "dial this office only");
   many->add_option("--rate", wanted->rate, "sessions a second")->check(CLI::Range(0.1, 20000.0))->capture_default_str();
   many->add_option("--for", wanted->seconds, "seconds")->check(CLI::Range(0.1, 3600.0))->required();
-  many->add_option("--hold", wanted->hold, "mean hold in milliseconds, in place of the services'")->check(CLI::Range(0.0, 1e6));
+  many->add_option("--hold", wanted->hold, "mean hold in milliseconds, in place of the services'")
+      ->check(CLI::Range(0.0, 1e6));
   many->add_option("--seed", wanted->seed, "start of the traffic's chance")->capture_default_str();
   many->add_flag("--json", wanted->json, "the result as JSON");
   many->callback([=, &status] {
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -2,8 +2,8 @@
 #include <iomanip>
 #include <iostream>
 
-#include "command/commands.hpp"
 #include "command/ask.hpp"
+#include "command/commands.hpp"
 
 namespace thistlefold::command {
 namespace {
@@ -15,7 +15,8 @@
     if (key != "exchanges") std::cout << std::left << std::setw(16) << key << ' ' << value << '\n';
   }
   std::cout << std::left << std::setw(16) << "exchange" << std::setw(10) << "listed" << std::right << std::setw(9)
-            << "circuits" << std::setw(6) << "free" << std::setw(9) << "ringing" << "  notes\n";
+            << "circuits" << std::setw(6) << "free" << std::setw(9) << "ringing"
+            << "  notes\n";
   for (const auto& entry : all.at("exchanges").as_array()) {
     const auto& one = entry.as_object();
     std::cout << std::left << std::setw(16) << one.at("exchange").as_string().c_str() << std::setw(10)
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -1,6 +1,6 @@
-#include <boost/json.hpp>
 #include <algorithm>
 #include <array>
+#include <boost/json.hpp>
 #include <filesystem>
 #include <fstream>
 #include <functional>
@@ -14,7 +14,6 @@
 
 #include "command/ask.hpp"
 #include "command/commands.hpp"
-
 #include "pages/plot.hpp"
 #include "pages/zones_account.hpp"
 #include "pages/zones_page.hpp"
@@ -33,7 +32,8 @@
 
 void add(Account& account, const json::value& office) {
   pages::eachCell(office, [&](const json::value& cell) {
-    account[{wordOf(cell, "from"), wordOf(cell, "to"), wordOf(cell, "service"), wordOf(cell, "part")}] += pages::lineOf(cell);
+    account[{wordOf(cell, "from"), wordOf(cell, "to"), wordOf(cell, "service"), wordOf(cell, "part")}] +=
+        pages::lineOf(cell);
   });
 }
 
@@ -44,15 +44,15 @@
 }
 
 void table(const Account& account) {
-  std::cout << std::left << std::setw(14) << "from" << std::setw(14) << "to" << std::setw(16) << "service" << std::setw(8)
-            << "part" << std::right;
+  std::cout << std::left << std::setw(14) << "from" << std::setw(14) << "to" << std::setw(16) << "service"
+            << std::setw(8) << "part" << std::right;
   for (const char* head : {"invites", "stood", "cut", "refused", "held"}) std::cout << std::setw(9) << head;
   std::cout << std::setw(20) << "circuit-seconds" << '\n';
-  const auto row = [](const std::string& from, const std::string& to, const std::string& service, const std::string& part,
-                      const Line& line) {
-    std::cout << std::left << std::setw(14) << from << std::setw(14) << to << std::setw(16) << service << std::setw(8) << part
-              << std::right << std::setw(9) << line.invites << std::setw(9) << line.stood << std::setw(9) << line.cut
-              << std::setw(9) << line.refused << std::setw(9) << line.held << std::setw(20)
+  const auto row = [](const std::string& from, const std::string& to, const std::string& service,
+                      const std::string& part, const Line& line) {
+    std::cout << std::left << std::setw(14) << from << std::setw(14) << to << std::setw(16) << service << std::setw(8)
+              << part << std::right << std::setw(9) << line.invites << std::setw(9) << line.stood << std::setw(9)
+              << line.cut << std::setw(9) << line.refused << std::setw(9) << line.held << std::setw(20)
               << seconds(line.circuitMicroseconds) << '\n';
   };
   std::map<std::string, Line> services;
@@ -72,7 +72,8 @@
   for (const auto& [key, line] : account) {
     const auto& [from, to, service, part] = key;
     std::cout << from << ',' << to << ',' << service << ',' << part << ',' << line.invites << ',' << line.stood << ','
-              << line.cut << ',' << line.refused << ',' << line.held << ',' << seconds(line.circuitMicroseconds) << '\n';
+              << line.cut << ',' << line.refused << ',' << line.held << ',' << seconds(line.circuitMicroseconds)
+              << '\n';
   }
 }
 
@@ -147,14 +148,15 @@
     span = one.at("span_ms").to_number<double>() / 1000;
     whole = whole && one.at("whole").as_bool();
     for (const json::value& bucket : one.at("buckets").as_array()) {
-      lines[{-bucket.at("ago").to_number<std::int64_t>(), wordOf(one, "from"), wordOf(one, "to"), wordOf(bucket, "service")}] +=
-          pages::lineOf(bucket);
+      lines[{-bucket.at("ago").to_number<std::int64_t>(), wordOf(one, "from"), wordOf(one, "to"),
+             wordOf(bucket, "service")}] += pages::lineOf(bucket);
     }
   }
   if (csv) std::cout << "ago_seconds,from,to,service,invites,stood,cut,refused,circuit_seconds\n";
   if (!csv) {
-    std::cout << std::right << std::setw(9) << "ago" << "  " << std::left << std::setw(14) << "from" << std::setw(14) << "to"
-              << std::setw(16) << "service" << std::right;
+    std::cout << std::right << std::setw(9) << "ago"
+              << "  " << std::left << std::setw(14) << "from" << std::setw(14) << "to" << std::setw(16) << "service"
+              << std::right;
     for (const char* head : {"invites", "stood", "cut", "refused"}) std::cout << std::setw(9) << head;
     std::cout << std::setw(18) << "circuit-seconds" << '\n';
   }
@@ -165,9 +167,9 @@
       std::cout << past << ',' << from << ',' << to << ',' << service << ',' << line.invites << ',' << line.stood << ','
                 << line.cut << ',' << line.refused << ',' << seconds(line.circuitMicroseconds) << '\n';
     } else {
-      std::cout << std::right << std::setw(8) << past << "s  " << std::left << std::setw(14) << from << std::setw(14) << to
-                << std::setw(16) << service << std::right << std::setw(9) << line.invites << std::setw(9) << line.stood
-                << std::setw(9) << line.cut << std::setw(9) << line.refused << std::setw(18)
+      std::cout << std::right << std::setw(8) << past << "s  " << std::left << std::setw(14) << from << std::setw(14)
+                << to << std::setw(16) << service << std::right << std::setw(9) << line.invites << std::setw(9)
+                << line.stood << std::setw(9) << line.cut << std::setw(9) << line.refused << std::setw(18)
                 << seconds(line.circuitMicroseconds) << '\n';
     }
   }
@@ -176,26 +178,30 @@
 
 void showBudgets(const std::vector<json::value>& offices) {
   std::cout << std::left << std::setw(14) << "from" << std::setw(14) << "to" << std::setw(14) << "office" << std::right;
-  for (const char* head : {"budget", "part", "owned", "lent", "borrowed", "held", "over"}) std::cout << std::setw(9) << head;
-  std::cout << std::setw(10) << "under in" << "  " << "circuit-seconds\n";
+  for (const char* head : {"budget", "part", "owned", "lent", "borrowed", "held", "over"})
+    std::cout << std::setw(9) << head;
+  std::cout << std::setw(10) << "under in"
+            << "  "
+            << "circuit-seconds\n";
   std::map<std::pair<std::string, std::string>, std::array<std::int64_t, 7>> sums;
   std::map<std::pair<std::string, std::string>, std::int64_t> under;
   const auto row = [](const std::string& from, const std::string& to, const std::string& office,
                       const std::array<std::int64_t, 7>& numbers, std::int64_t underIn) {
     std::cout << std::left << std::setw(14) << from << std::setw(14) << to << std::setw(14) << office << std::right;
     for (const std::int64_t one : numbers) std::cout << std::setw(9) << one;
-    std::cout << std::setw(9) << (numbers[6] == 0 ? std::string("-") : std::to_string(underIn / 1000)) << (numbers[6] == 0 ? " " : "s");
+    std::cout << std::setw(9) << (numbers[6] == 0 ? std::string("-") : std::to_string(underIn / 1000))
+              << (numbers[6] == 0 ? " " : "s");
   };
   for (const json::value& office : offices) {
     for (const json::value& one : office.at("budgets").as_array()) {
       const auto number = [&](const char* field) { return one.at(field).to_number<std::int64_t>(); };
       const std::string from = wordOf(one, "from"), to = wordOf(one, "to");
-      const std::array<std::int64_t, 7> numbers{number("whole"), number("part"), number("owned"), number("lent"),
+      const std::array<std::int64_t, 7> numbers{number("whole"),    number("part"), number("owned"), number("lent"),
                                                 number("borrowed"), number("held"), number("over")};
       row(from, to, wordOf(office, "office"), numbers, number("under_in_ms"));
       if (one.as_object().contains("allowance")) {
-        std::cout << "  " << one.at("used").to_number<double>() << " of " << one.at("allowance").to_number<double>() << ", next in "
-                  << number("next_period_in_ms") / 1000 << " s";
+        std::cout << "  " << one.at("used").to_number<double>() << " of " << one.at("allowance").to_number<double>()
+                  << ", next in " << number("next_period_in_ms") / 1000 << " s";
       }
       if (one.at("waiting").as_bool()) std::cout << "  waits for its zone's offices";
       std::cout << '\n';
@@ -223,7 +229,8 @@
     return at + static_cast<std::size_t>(form.column) - 1;
   };
   for (const settings::Form& one : fleet.items) {
-    if (one.head() != "budget" || one.items.size() < 4 || one.items[1].value != from || one.items[2].value != to) continue;
+    if (one.head() != "budget" || one.items.size() < 4 || one.items[1].value != from || one.items[2].value != to)
+      continue;
     const std::size_t at = offset(one.items[3]);
     return text.substr(0, at) + std::to_string(circuits) + text.substr(at + one.items[3].value.size());
   }
@@ -235,7 +242,8 @@
     if (last != std::string::npos) end = begin + last;
     if (line == text.size()) break;
   }
-  return text.substr(0, end) + "\n  (budget \"" + from + "\" \"" + to + "\" " + std::to_string(circuits) + ")" + text.substr(end);
+  return text.substr(0, end) + "\n  (budget \"" + from + "\" \"" + to + "\" " + std::to_string(circuits) + ")" +
+         text.substr(end);
 }
 
 /// Changes a budget in the fleet file and has the offices of its zone read it. The file is replaced whole, and only by
@@ -282,7 +290,8 @@
     const auto answer = askOffice(place.office, "thistlefold reread 1\n");
     const bool taken = answer && answer->starts_with("taken");
     if (!taken) status = 1;
-    std::cout << place.name << ": " << (answer ? *answer : "no answer; it reads the file when it is started, or at SIGHUP\n");
+    std::cout << place.name << ": "
+              << (answer ? *answer : "no answer; it reads the file when it is started, or at SIGHUP\n");
   }
   return status;
 }
@@ -301,7 +310,8 @@
     std::vector<iax2::Address> all;
     for (const std::string& text : texts) {
       const auto at = iax2::parseAddress(text);
-      if (!at) throw CLI::ValidationError(command, "an ADDRESS:PORT such as 127.0.0.1:4569 is expected, not '" + text + "'");
+      if (!at)
+        throw CLI::ValidationError(command, "an ADDRESS:PORT such as 127.0.0.1:4569 is expected, not '" + text + "'");
       all.push_back(*at);
     }
     return all;
@@ -325,7 +335,8 @@
     }
   };
 
-  auto* report = zones->add_subcommand("report", "The account of running offices, or of a day that was played, summed up");
+  auto* report =
+      zones->add_subcommand("report", "The account of running offices, or of a day that was played, summed up");
   auto wanted = std::make_shared<Wanted>();
   auto* offices = report->add_option("ADDRESS", wanted->offices, "where offices listen; several are summed up");
   auto* fleet = report->add_option("--fleet", wanted->fleet, "all offices of this fleet file");
@@ -335,12 +346,16 @@
       ->check(CLI::IsMember({"second", "minute", "hour"}));
   auto* asCsv = report->add_flag("--csv", wanted->csv, "comma-separated lines");
   auto* asJson_ = report->add_flag("--json", wanted->json, "as JSON")->excludes(asCsv);
-  report->add_option("--html", wanted->html, "a page with plots, written to this file; over time as --series says, or by second")
+  report
+      ->add_option("--html", wanted->html,
+                   "a page with plots, written to this file; over time as --series says, or by second")
       ->excludes(asCsv)
       ->excludes(asJson_);
   report->footer(
-      "Each leg that crosses zones is counted once, by the office that sends it: direct, first (to a tandem) or second (from\n"
-      "a tandem). A session over a tandem that crosses twice is two legs. What an office sent before it was killed is told\n"
+      "Each leg that crosses zones is counted once, by the office that sends it: direct, first (to a tandem) or second "
+      "(from\n"
+      "a tandem). A session over a tandem that crosses twice is two legs. What an office sent before it was killed is "
+      "told\n"
       "by the offices that it reached. A stored run has its last five minutes by second.");
   report->callback([=, &status] {
     guarded("zones report", [&] {
@@ -351,7 +366,8 @@
         throw CLI::ValidationError("zones report", "a stored run is by second only");
       }
       const std::string level = !wanted->level.empty() ? wanted->level : wanted->html.empty() ? "" : "second";
-      const Told told = wanted->run.empty() ? fromOffices(wantedOffices("zones report", *wanted), level) : fromRun(wanted->run);
+      const Told told =
+          wanted->run.empty() ? fromOffices(wantedOffices("zones report", *wanted), level) : fromRun(wanted->run);
       if (!wanted->html.empty()) {
         const std::string page = pages::zonesPage("Traffic across zones", told.offices, told.series);
         std::ofstream out(wanted->html, std::ios::binary | std::ios::trunc);
@@ -375,12 +391,15 @@
   auto of = std::make_shared<Wanted>();
   auto* shown = budget->add_option("ADDRESS", of->offices, "where offices listen");
   auto* file = budget->add_option("--fleet", of->fleet, "all offices of this fleet file");
-  budget->add_option("--set", of->set, "FROM TO CIRCUITS: changes the fleet file and has the offices of zone FROM read it")
+  budget
+      ->add_option("--set", of->set,
+                   "FROM TO CIRCUITS: changes the fleet file and has the offices of zone FROM read it")
       ->expected(3)
       ->needs(file)
       ->excludes(shown);
   budget->footer(
-      "An office's part is what it owns, less what it has lent, and what it has borrowed of others of its zone. `over` is\n"
+      "An office's part is what it owns, less what it has lent, and what it has borrowed of others of its zone. `over` "
+      "is\n"
       "held above the part, and ends by itself in about the time shown.");
   budget->callback([=, &status] {
     guarded("zones budget", [&] {
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -152,7 +152,8 @@
     plan.habit.backoff = microseconds(clients.at("backoff_us"));
     plan.habit.honour = clients.at("honour").to_number<double>();
     plan.habit.tryShare = clients.at("try_share").to_number<double>();
-    if (clients.at("backoff").as_string() != "fixed") leave("callers' backoff of kind " + std::string(clients.at("backoff").as_string()));
+    if (clients.at("backoff").as_string() != "fixed")
+      leave("callers' backoff of kind " + std::string(clients.at("backoff").as_string()));
     plan.notice = microseconds(day_.at("discovery").at("notice"));
   }
 
@@ -230,7 +231,8 @@
   /// An office stands still for `each` and runs for `between`, over and over; apart: by turns.
   void stalls(const Trouble& all, Span each, Span between, bool apart) {
     for (std::size_t k = 0; k < all.places.size(); ++k) {
-      const Span shift = apart ? (each + between) * (static_cast<double>(k) / static_cast<double>(all.places.size())) : Span();
+      const Span shift =
+          apart ? (each + between) * (static_cast<double>(k) / static_cast<double>(all.places.size())) : Span();
       for (Span at = all.at + shift; at + each <= all.at + all.lasts; at = at + each + between) {
         Trouble one = all;
         one.kind = Trouble::Kind::freeze;
--- a/src/day/loopback_stage.cpp
+++ b/src/day/loopback_stage.cpp
@@ -237,9 +237,9 @@
     if (one == nullptr) {
       one = std::make_unique<Face>(*this, identity);
       one->port = net::bindPort(context_.get_executor(), kAnyPort);
-      one->attendance = std::make_unique<net::Attendance>(
-          context_.get_executor(), *one, *one->port, *clock_,
-          [](const char* what) { throw StageFault(std::string("relay: ") + what); });
+      one->attendance =
+          std::make_unique<net::Attendance>(context_.get_executor(), *one, *one->port, *clock_,
+                                            [](const char* what) { throw StageFault(std::string("relay: ") + what); });
     }
     return *one;
   }
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -49,13 +49,15 @@
     stage_.fate([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
       return fate(from, to, bytes);
     });
-    stage_.tap([this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes,
-                      bool delivered) { capture_.write({at, delivered, from, to, bytes}); });
+    stage_.tap(
+        [this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes, bool delivered) {
+          capture_.write({at, delivered, from, to, bytes});
+        });
     const std::size_t count = fleet_.places.size();
     std::vector<iax2::Address> offices;
     for (const Place& place : stage_.fleet().places) offices.push_back(place.office);
-    directory_ = std::make_unique<DirectoryStandIn>(plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices,
-                                                    count, stage_.now());
+    directory_ = std::make_unique<DirectoryStandIn>(
+        plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, count, stage_.now());
     stage_.place(kDirectory, *directory_);
     processors_.resize(count);
     for (std::size_t i = 0; i < count; ++i) startProcessor(static_cast<int>(i), true);
@@ -153,12 +155,13 @@
       if (account.empty()) report.crossingsChecked = false;
       if (account.empty()) continue;
       const boost::json::value read = boost::json::parse(account);
-      for (const char* part : {"cells", "inherited"}) for (const auto& cell : read.at(part).as_array()) {
-        const auto word = [&](const char* field) { return std::string(cell.at(field).as_string()); };
-        audit::Crossed& sums = told[{word("from"), word("to"), word("service"), word("part")}];
-        sums.invites += cell.at("invites").to_number<std::uint64_t>();
-        sums.stood += cell.at("stood").to_number<std::uint64_t>();
-      }
+      for (const char* part : {"cells", "inherited"})
+        for (const auto& cell : read.at(part).as_array()) {
+          const auto word = [&](const char* field) { return std::string(cell.at(field).as_string()); };
+          audit::Crossed& sums = told[{word("from"), word("to"), word("service"), word("part")}];
+          sums.invites += cell.at("invites").to_number<std::uint64_t>();
+          sums.stood += cell.at("stood").to_number<std::uint64_t>();
+        }
     }
     if (!report.crossingsChecked) return;
     auto seen = report.findings.remembered;
@@ -186,7 +189,8 @@
     const auto& changes = found == report.findings.out.end() ? kNone : found->second;
     const auto tell = [&] {
       report.budgets.push_back(from + " to " + to + ": " + std::to_string(most) + " circuits out at once at most, of " +
-                               std::to_string(whole) + (letBe > whole ? ", with " + std::to_string(letBe) + " out when it was lowered" : ""));
+                               std::to_string(whole) +
+                               (letBe > whole ? ", with " + std::to_string(letBe) + " out when it was lowered" : ""));
     };
     bool passed = false;
     for (const auto& [at, now] : changes) {
@@ -204,8 +208,9 @@
       if (at >= obeyedFrom && obeyedFrom != Instant::longAgo()) letBe = 0;
       most = std::max(most, now);
       if (now > std::max(whole, letBe) && !std::exchange(passed, true)) {
-        report.crossings.push_back("budget passed: " + from + " to " + to + ": " + std::to_string(now) + " circuits out, of " +
-                                   std::to_string(whole) + ", " + std::to_string((at - begin_).ms()) + " ms into the day");
+        report.crossings.push_back("budget passed: " + from + " to " + to + ": " + std::to_string(now) +
+                                   " circuits out, of " + std::to_string(whole) + ", " +
+                                   std::to_string((at - begin_).ms()) + " ms into the day");
       }
     }
     tell();
@@ -413,7 +418,7 @@
   std::vector<Span> fate(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     const auto a = placeOf_.find(from), b = placeOf_.find(to);
     const bool between = a != placeOf_.end() && b != placeOf_.end();
-    Span base = Span::ms(0.5);  // callers sit beside their office
+    Span base = Span::ms(0.5);                                    // callers sit beside their office
     if (between && a->second == b->second) base = Span::ms(0.1);  // an office beside its exchange
     if (between && a->second != b->second) {
       const auto& places = fleet_.places;
@@ -514,8 +519,9 @@
     }
     out << std::setw(8) << std::setprecision(1) << (s.value > 0 ? 100 * s.earned / s.value : 0) << "%\n";
   }
-  out << "\nservice " << std::setprecision(3) << r.service() << "   post-dial delay p50 " << std::setprecision(1) << r.p50
-      << " ms, p99 " << r.p99 << " ms\nservice by second (value earned over offered, tenths; . is none offered)\n  ";
+  out << "\nservice " << std::setprecision(3) << r.service() << "   post-dial delay p50 " << std::setprecision(1)
+      << r.p50 << " ms, p99 " << r.p99
+      << " ms\nservice by second (value earned over offered, tenths; . is none offered)\n  ";
   for (std::size_t i = 0; i < r.seconds.size(); ++i) {
     const auto& s = r.seconds[i];
     out << (s.value <= 0                  ? '.'
@@ -546,7 +552,8 @@
   if (r.crossings.empty()) {
     out << "cross-zone accounts: "
         << (r.crossingsChecked ? "equal to the capture to the unit" : "not compared, an office gave none");
-    if (r.unaccounted > 0) out << "; " << r.unaccounted << " INVITEs of killed offices had reached nobody who still runs";
+    if (r.unaccounted > 0)
+      out << "; " << r.unaccounted << " INVITEs of killed offices had reached nobody who still runs";
     out << '\n';
   }
   if (r.unfinished > 0) out << r.unfinished << " sessions were not over when the day was cut off\n";
@@ -579,7 +586,8 @@
   }
   out["services"] = std::move(services);
   json::array seconds;
-  for (const auto& s : r.seconds) seconds.push_back(s.value > 0 ? json::value(s.earned / s.value) : json::value(nullptr));
+  for (const auto& s : r.seconds)
+    seconds.push_back(s.value > 0 ? json::value(s.earned / s.value) : json::value(nullptr));
   out["by_second"] = std::move(seconds);
   json::array troubles, disagree, offices, zones, crossings, series;
   for (const auto& one : r.series) series.push_back(json::parse(one));
--- a/src/day/play.hpp
+++ b/src/day/play.hpp
@@ -33,7 +33,9 @@
   audit::Findings findings;
 
   double service() const;  // value earned over value offered
-  bool good() const { return findings.kept() && disagree.empty() && crossings.empty() && unfinished == 0 && fallen == 0; }
+  bool good() const {
+    return findings.kept() && disagree.empty() && crossings.empty() && unfinished == 0 && fallen == 0;
+  }
 };
 
 /// The capture is written to `capturePath`. Throws StageFault or std::runtime_error.
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -74,12 +74,14 @@
     {Trouble::Kind::kill, "kill", "(kill WHERE LASTS)", "offices are killed and started anew"},
     {Trouble::Kind::burst, "burst", "(burst LASTS TIMES)", "all callers dial that much more"},
     {Trouble::Kind::hotCaller, "hot-caller", "(hot-caller WHERE LASTS TIMES)", "callers of some offices dial more"},
-    {Trouble::Kind::network, "network", "(network LASTS (loss S) (twice S) (late S MS) (cut-short S) (between WHERE WHERE))",
+    {Trouble::Kind::network, "network",
+     "(network LASTS (loss S) (twice S) (late S MS) (cut-short S) (between WHERE WHERE))",
      "datagrams are lost, doubled, late, cut short"},
     {Trouble::Kind::directory, "directory", "(directory LASTS)", "the directory says nothing"},
     {Trouble::Kind::loseCircuits, "lose-circuits", "(lose-circuits WHERE LASTS KEEP)",
      "groups between these and other zones keep that share of their circuits"},
-    {Trouble::Kind::massCall, "mass-call", "(mass-call WHERE LASTS SHARE)", "that share of all sessions dials one number there"},
+    {Trouble::Kind::massCall, "mass-call", "(mass-call WHERE LASTS SHARE)",
+     "that share of all sessions dials one number there"},
     {Trouble::Kind::budget, "budget", "(budget ZONE ZONE CIRCUITS)", "a budget between zones is changed in service"},
 };
 
@@ -93,8 +95,8 @@
     trouble.at = Span::ms(time(at.items[1]));
     const Form& what = at.items[2];
     if (what.head().empty()) what.wrong("a list that begins with a trouble is expected");
-    const auto verb = std::find_if(std::begin(kVerbs), std::end(kVerbs),
-                                   [&](const Verb& one) { return one.word == what.head(); });
+    const auto verb =
+        std::find_if(std::begin(kVerbs), std::end(kVerbs), [&](const Verb& one) { return one.word == what.head(); });
     if (verb == std::end(kVerbs)) {
       std::vector<std::string_view> known;
       for (const Verb& one : kVerbs) known.push_back(one.word);
@@ -161,7 +163,8 @@
       const Form& one = what.items[i];
       const std::string_view word = one.head();
       const auto share = [&](std::size_t count) {
-        if (one.items.size() != count) one.wrong("(" + std::string(word) + " SHARE" + (count > 2 ? " MS" : "") + ") is expected");
+        if (one.items.size() != count)
+          one.wrong("(" + std::string(word) + " SHARE" + (count > 2 ? " MS" : "") + ") is expected");
         return settings::asNumber(one.items[1], 0, 1);
       };
       if (word == "loss") {
@@ -213,7 +216,8 @@
     for (std::size_t i = 0; i < all.size(); ++i) all[i] = static_cast<int>(i);
     if (form.isList()) {
       if (form.items.size() == 2 && form.head() == "any") {
-        const auto count = static_cast<std::size_t>(settings::asNumber(form.items[1], 1, static_cast<double>(all.size())));
+        const auto count =
+            static_cast<std::size_t>(settings::asNumber(form.items[1], 1, static_cast<double>(all.size())));
         std::shuffle(all.begin(), all.end(), chance_);
         all.resize(count);
         std::sort(all.begin(), all.end());
@@ -412,7 +416,8 @@
   settings::explainWords(out, "callers", kCallers);
   settings::explainWords(out, "processor", kProcessor);
   settings::explainWords(out, "network", kNetwork);
-  out << "(at TIME (TROUBLE ...)): TIME in milliseconds or (between FROM TO); WHERE is an exchange's name, all, (any N)\n"
+  out << "(at TIME (TROUBLE ...)): TIME in milliseconds or (between FROM TO); WHERE is an exchange's name, all, (any "
+         "N)\n"
          "or (zone NAME)\n";
   for (const Verb& one : kVerbs) out << "  " << one.form << "\n      " << one.means << '\n';
 }
--- a/src/day/script.hpp
+++ b/src/day/script.hpp
@@ -15,11 +15,25 @@
 
 struct Trouble {
   enum class Kind {
-    hang, slow, age, crash, vanish, replace, cut, freeze, kill, burst, hotCaller, network, directory, loseCircuits,
-    massCall, budget
+    hang,
+    slow,
+    age,
+    crash,
+    vanish,
+    replace,
+    cut,
+    freeze,
+    kill,
+    burst,
+    hotCaller,
+    network,
+    directory,
+    loseCircuits,
+    massCall,
+    budget
   };
   Kind kind;
-  Span at;                  // from the day's begin
+  Span at;  // from the day's begin
   Span lasts;
   double size = 0;          // times, share or milliseconds, by kind
   std::vector<int> places;  // drawn from the day's seed where the file says any
@@ -27,7 +41,7 @@
   int from = 0, to = 0;     // budget: zones
   double loss = 0, twice = 0, late = 0, cutShort = 0;
   Span lateBy;
-  std::string words;        // as written, for the report
+  std::string words;  // as written, for the report
 };
 
 struct Network {
@@ -44,15 +58,15 @@
   Network network;
   ProcessorModel processor;
   CallerHabit habit;
-  double rate = 30;            // sessions a second, all callers
+  double rate = 30;  // sessions a second, all callers
   std::string shape = "steady";
   std::vector<std::pair<Span, double>> knots;  // shape "given": the rate goes straight between these, by time
-  double swing = 0.2;          // wave and ramp go this share above and below
-  double pairSpread = 0.5;     // how unequal destinations are (standard deviation of the logarithm)
-  std::vector<double> pairs;   // weight by office and destination, row by row; empty: drawn from pairSpread
-  std::vector<double> shares;  // of the services
+  double swing = 0.2;                          // wave and ramp go this share above and below
+  double pairSpread = 0.5;                     // how unequal destinations are (standard deviation of the logarithm)
+  std::vector<double> pairs;     // weight by office and destination, row by row; empty: drawn from pairSpread
+  std::vector<double> shares;    // of the services
   Span notice = Span::ms(2000);  // how late the directory is
-  int lines = 4;               // of a mass-called number
+  int lines = 4;                 // of a mass-called number
   std::vector<Trouble> troubles;
 };
 
--- a/src/day/virtual_stage.cpp
+++ b/src/day/virtual_stage.cpp
@@ -5,12 +5,8 @@
 
 namespace thistlefold::day {
 
-iax2::Address officeIdentity(int place) {
-  return {0x7f010001u + static_cast<std::uint32_t>(place), 4569};
-}
-iax2::Address processorIdentity(int place) {
-  return {0x7f020001u + static_cast<std::uint32_t>(place), 4569};
-}
+iax2::Address officeIdentity(int place) { return {0x7f010001u + static_cast<std::uint32_t>(place), 4569}; }
+iax2::Address processorIdentity(int place) { return {0x7f020001u + static_cast<std::uint32_t>(place), 4569}; }
 
 Fleet identified(Fleet fleet) {
   for (std::size_t i = 0; i < fleet.places.size(); ++i) {
--- a/src/dimension/advice.cpp
+++ b/src/dimension/advice.cpp
@@ -10,8 +10,8 @@
 namespace thistlefold::dimension {
 namespace {
 
-// Working a mesh out takes time as the cube of its places. So many tries that 95 exchanges are planned in seconds, and in
-// small fleets every group can be tried singly.
+// Working a mesh out takes time as the cube of its places. So many tries that 95 exchanges are planned in seconds, and
+// in small fleets every group can be tried singly.
 constexpr double kMostWork = 1e7;
 constexpr int kMostTries = 400;
 
@@ -20,15 +20,14 @@
   return static_cast<int>(std::clamp(kMostWork / each, 24.0, static_cast<double>(kMostTries)));
 }
 
-int wholeModules(double circuits, int module) {
-  return static_cast<int>(std::ceil(circuits / module - 1e-9)) * module;
-}
+int wholeModules(double circuits, int module) { return static_cast<int>(std::ceil(circuits / module - 1e-9)) * module; }
 
 /// Both directions' loads of a group's pair, as streams.
 std::vector<Stream> direct(const Mesh& mesh, const MeshGroup& group) {
   std::vector<Stream> streams;
   for (std::size_t s = 0; s < mesh.services(); ++s) {
-    streams.push_back({mesh.loads[mesh.at(group.a, group.b, s)] + mesh.loads[mesh.at(group.b, group.a, s)], mesh.widths[s], 0});
+    streams.push_back(
+        {mesh.loads[mesh.at(group.a, group.b, s)] + mesh.loads[mesh.at(group.b, group.a, s)], mesh.widths[s], 0});
   }
   return streams;
 }
@@ -141,9 +140,8 @@
   if (advice.met) {
     std::vector<std::size_t> order(mesh.groups.size());
     std::iota(order.begin(), order.end(), 0);
-    std::stable_sort(order.begin(), order.end(), [&](std::size_t x, std::size_t y) {
-      return mesh.groups[x].price > mesh.groups[y].price;
-    });
+    std::stable_sort(order.begin(), order.end(),
+                     [&](std::size_t x, std::size_t y) { return mesh.groups[x].price > mesh.groups[y].price; });
     // A share of each group; at the end a single module.
     for (double share = 0.25; advice.tried < most; share /= 2) {
       const auto stepOf = [&](int circuits) {
@@ -193,7 +191,7 @@
     for (const Stream& one : direct(mesh, group)) load += one.load * one.width;
     why.precision(3);
     if (group.circuits == 0) {
-      why << (load > 0 ? "its " : "nothing is offered to it") ;
+      why << (load > 0 ? "its " : "nothing is offered to it");
       if (load > 0) why << load << " erlangs go over tandems at less";
     } else {
       why << load << " erlangs direct want " << alone[g] << " by themselves; " << std::max(0.0, advice.expected.use[g])
--- a/src/dimension/advice.hpp
+++ b/src/dimension/advice.hpp
@@ -18,12 +18,12 @@
 };
 
 struct Advice {
-  std::vector<int> circuits;      // by group of the mesh
-  std::vector<std::string> why;   // by group, one line
+  std::vector<int> circuits;     // by group of the mesh
+  std::vector<std::string> why;  // by group, one line
   MeshLoss expected;
   double price = 0;
-  bool met = false;               // else a group came to the most, or no group can help a pair
-  int tried = 0;                  // meshes that were worked out
+  bool met = false;  // else a group came to the most, or no group can help a pair
+  int tried = 0;     // meshes that were worked out
 };
 
 /// The plan for `mesh`, whose groups' circuits are taken as no more than where groups may be.
--- a/src/dimension/mesh.cpp
+++ b/src/dimension/mesh.cpp
@@ -154,7 +154,9 @@
     }
   }
 
-  std::size_t slot(int group, std::size_t service) const { return static_cast<std::size_t>(group) * services_ + service; }
+  std::size_t slot(int group, std::size_t service) const {
+    return static_cast<std::size_t>(group) * services_ + service;
+  }
 
   const Mesh& mesh_;
   std::size_t services_;
--- a/src/dimension/mesh.hpp
+++ b/src/dimension/mesh.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 // What a whole mesh loses, when sessions go as this program routes them: direct while the group has room, else over
-// one tandem on groups that stay under the cap, after a turn-back over the next. An Erlang fixed point (Kelly, Adv. Appl.
-// Prob. 18, 1986; with reservation: Katz, ITC 5, 1967): each group is taken by itself, under the loads that the others
-// leave to it, again and again until nothing moves. Pure.
+// one tandem on groups that stay under the cap, after a turn-back over the next. An Erlang fixed point (Kelly, Adv.
+// Appl. Prob. 18, 1986; with reservation: Katz, ITC 5, 1967): each group is taken by itself, under the loads that the
+// others leave to it, again and again until nothing moves. Pure.
 
 #include <vector>
 
@@ -27,18 +27,20 @@
 
   std::size_t services() const { return widths.size(); }
   std::size_t at(int from, int to, std::size_t service) const {
-    return (static_cast<std::size_t>(from) * static_cast<std::size_t>(places) + static_cast<std::size_t>(to)) * services() + service;
+    return (static_cast<std::size_t>(from) * static_cast<std::size_t>(places) + static_cast<std::size_t>(to)) *
+               services() +
+           service;
   }
 };
 
 struct MeshLoss {
-  std::vector<double> loss;      // by load, same index; 0 where nothing is offered
-  std::vector<double> service;   // of all that is offered, by service
-  std::vector<double> direct;    // by group and service: share that does not find the group free
-  std::vector<double> use;       // by group: circuits in use on average
-  std::vector<double> worst;     // by service: the pair that loses most
+  std::vector<double> loss;     // by load, same index; 0 where nothing is offered
+  std::vector<double> service;  // of all that is offered, by service
+  std::vector<double> direct;   // by group and service: share that does not find the group free
+  std::vector<double> use;      // by group: circuits in use on average
+  std::vector<double> worst;    // by service: the pair that loses most
   int rounds = 0;
-  bool settled = false;          // else what is told is the last round's, and moved by more than 0.0001 yet
+  bool settled = false;  // else what is told is the last round's, and moved by more than 0.0001 yet
 };
 
 /// `start`: an earlier answer for nearly the same mesh, to begin from; may be null.
--- a/src/dimension/theory.cpp
+++ b/src/dimension/theory.cpp
@@ -110,7 +110,8 @@
   std::vector<double> lost;
   for (const Stream& one : streams) {
     double share = 0;
-    for (int j = std::max(0, circuits - one.reserve - one.width + 1); j <= circuits; ++j) share += q[static_cast<std::size_t>(j)];
+    for (int j = std::max(0, circuits - one.reserve - one.width + 1); j <= circuits; ++j)
+      share += q[static_cast<std::size_t>(j)];
     lost.push_back(std::min(1.0, share));
   }
   return lost;
--- a/src/dimension/theory.hpp
+++ b/src/dimension/theory.hpp
@@ -7,8 +7,8 @@
 
 namespace thistlefold::dimension {
 
-/// Erlang's loss formula for `load` on `circuits`, which need not be whole: the share of time in which all are busy, and
-/// of Poisson traffic that is lost. By the recursion in circuits, which damps errors, from the fractional part of
+/// Erlang's loss formula for `load` on `circuits`, which need not be whole: the share of time in which all are busy,
+/// and of Poisson traffic that is lost. By the recursion in circuits, which damps errors, from the fractional part of
 /// `circuits`, for which the integral of Jagerman (BSTJ 53, 1974) is an incomplete gamma function.
 double erlangB(double load, double circuits);
 
--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -94,9 +94,7 @@
     json_.Key(key);
     json_.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   }
-  void ticket(const Session& session) {
-    field("Ticket", static_cast<const TicketedSession&>(session).ticket);
-  }
+  void ticket(const Session& session) { field("Ticket", static_cast<const TicketedSession&>(session).ticket); }
   void exchange(const Exchange& to) {
     json_.Key("Exchange");
     json_.Uint(static_cast<const ListedExchange&>(to).id);
@@ -117,8 +115,7 @@
       : data_(readStart(object(start, "Conf"))), roster_(data_.pools ? -1 : placeHere(object(start, "Conf"))) {
     const Value& seed = need(start, "InitSeed");
     if (!seed.IsUint64() && !seed.IsInt64()) wrong("InitSeed", "a whole number is wanted");
-    const std::uint64_t from =
-        seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
+    const std::uint64_t from = seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
     controller_ = openOffice(data_, from);
   }
 
--- a/src/iax2/address.hpp
+++ b/src/iax2/address.hpp
@@ -28,7 +28,5 @@
 
 template <>
 struct std::hash<thistlefold::iax2::Address> {
-  std::size_t operator()(const thistlefold::iax2::Address& a) const {
-    return std::hash<std::uint64_t>()(a.key());
-  }
+  std::size_t operator()(const thistlefold::iax2::Address& a) const { return std::hash<std::uint64_t>()(a.key()); }
 };
--- a/src/iax2/endpoint.hpp
+++ b/src/iax2/endpoint.hpp
@@ -95,12 +95,12 @@
 /// Spans of the dialogue. RFC 5456 section 7 leaves first repeat and count to the implementation and bounds a
 /// gap at 10 s.
 struct Patience {
-  Span firstRepeat = Span::ms(200);    // well above a cross-zone round trip of some 40 ms
+  Span firstRepeat = Span::ms(200);  // well above a cross-zone round trip of some 40 ms
   Span longestRepeat = Span::ms(1600);
-  int repeats = 6;                     // 200+400+800+1600+1600+1600 ms: given up after 6.2 s plus the last gap
-  Span linger = Span::ms(10000);       // a finished call is remembered so long: above the last repeat of a NEW
-  Span ping = Span::ms(20000);         // a quiet call is probed (RFC 5456 section 6.7.1 suggests some 20 s)
-  std::size_t mostCalls = 60000;       // calls at once, lingering ones included; NEWs beyond are dropped
+  int repeats = 6;                // 200+400+800+1600+1600+1600 ms: given up after 6.2 s plus the last gap
+  Span linger = Span::ms(10000);  // a finished call is remembered so long: above the last repeat of a NEW
+  Span ping = Span::ms(20000);    // a quiet call is probed (RFC 5456 section 6.7.1 suggests some 20 s)
+  std::size_t mostCalls = 60000;  // calls at once, lingering ones included; NEWs beyond are dropped
 };
 
 class Endpoint {
--- a/src/iax2/frame.cpp
+++ b/src/iax2/frame.cpp
@@ -189,13 +189,12 @@
     const char* name;
   };
   static constexpr Named kNames[] = {
-      {Type::iax, 0x01, "NEW"},       {Type::iax, 0x02, "PING"},       {Type::iax, 0x03, "PONG"},
-      {Type::iax, 0x04, "ACK"},       {Type::iax, 0x05, "HANGUP"},     {Type::iax, 0x06, "REJECT"},
-      {Type::iax, 0x07, "ACCEPT"},    {Type::iax, 0x0a, "INVAL"},      {Type::iax, 0x0b, "LAGRQ"},
-      {Type::iax, 0x0c, "LAGRP"},     {Type::iax, 0x12, "VNAK"},       {Type::iax, 0x1e, "POKE"},
-      {Type::iax, 0x21, "UNSUPPORT"}, {Type::control, 0x03, "RINGING"}, {Type::control, 0x04, "ANSWER"},
-      {Type::control, 0x05, "BUSY"},  {Type::control, 0x08, "CONGESTION"},
-      {Type::control, 0x0f, "PROCEEDING"},
+      {Type::iax, 0x01, "NEW"},       {Type::iax, 0x02, "PING"},           {Type::iax, 0x03, "PONG"},
+      {Type::iax, 0x04, "ACK"},       {Type::iax, 0x05, "HANGUP"},         {Type::iax, 0x06, "REJECT"},
+      {Type::iax, 0x07, "ACCEPT"},    {Type::iax, 0x0a, "INVAL"},          {Type::iax, 0x0b, "LAGRQ"},
+      {Type::iax, 0x0c, "LAGRP"},     {Type::iax, 0x12, "VNAK"},           {Type::iax, 0x1e, "POKE"},
+      {Type::iax, 0x21, "UNSUPPORT"}, {Type::control, 0x03, "RINGING"},    {Type::control, 0x04, "ANSWER"},
+      {Type::control, 0x05, "BUSY"},  {Type::control, 0x08, "CONGESTION"}, {Type::control, 0x0f, "PROCEEDING"},
   };
   for (const Named& one : kNames) {
     if (one.type == head.type && one.subclass == head.subclass) return one.name;
--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -26,12 +26,12 @@
 struct Office {
   std::unique_ptr<Pool> pool;
   std::vector<Session> standing;
-  std::uint64_t life = 0;   // changes with each start
+  std::uint64_t life = 0;  // changes with each start
   bool alive = true, frozen = false, parted = false;
   double clockOffset = 0, clockRate = 1;
-  double share = 1;         // of the load
+  double share = 1;           // of the load
   std::vector<Word> waiting;  // came in while it stood still
-  int loweredOver = 0;      // what stood above its part when the budget was lowered, and still does
+  int loweredOver = 0;        // what stood above its part when the budget was lowered, and still does
   std::vector<int> heardHeld;
   Instant refusingSince = Instant::never();
   Instant wakeAt = Instant::never();
@@ -220,7 +220,9 @@
       const int room = budget_ - out();
       if (getenv("TRACE") && now_ > Instant::ms(30000)) {
         printf("%.1f refused at %d width %d room %d:", (now_ - Instant()).ms() / 1000, i, day_.kinds[s].width, room);
-        for (Office& o : offices_) printf(" [%d cap %d held %d lent %d borrowed %d sh %.2f]", o.pool->owned(), o.pool->part().circuits(), o.pool->part().held(), o.pool->lent(), o.pool->borrowed(clock(o)), o.share);
+        for (Office& o : offices_)
+          printf(" [%d cap %d held %d lent %d borrowed %d sh %.2f]", o.pool->owned(), o.pool->part().circuits(),
+                 o.pool->part().held(), o.pool->lent(), o.pool->borrowed(clock(o)), o.share);
         puts("");
       }
       if (room >= day_.kinds[s].width * 2) {
@@ -238,13 +240,15 @@
     one.refusingSince = Instant::never();
     one.pool->take(clock(one), s);
     one.standing.push_back({s, ++sessions_, now_});
-    at(Span::ms(exponential(day_.kinds[s].meanHold.ms())), [this, i, id = sessions_, life = one.life] { end(i, id, life); });
+    at(Span::ms(exponential(day_.kinds[s].meanHold.ms())),
+       [this, i, id = sessions_, life = one.life] { end(i, id, life); });
   }
 
   void end(int i, std::uint64_t id, std::uint64_t life) {
     Office& one = office(i);
     if (one.life != life || !one.alive) return;
-    const auto it = std::find_if(one.standing.begin(), one.standing.end(), [&](const Session& s) { return s.id == id; });
+    const auto it =
+        std::find_if(one.standing.begin(), one.standing.end(), [&](const Session& s) { return s.id == id; });
     if (it == one.standing.end()) return;
     if (one.frozen) {
       // It hears of the end when it runs again.
--- a/src/model/zone_model.hpp
+++ b/src/model/zone_model.hpp
@@ -20,9 +20,9 @@
 struct ZoneTrouble {
   enum class Kind { kill, freeze, part, budget };
   Kind kind;
-  Span at, lasts;           // budget: `lasts` is over how long offices come to know of it, one after another
-  std::vector<int> offices; // part: cut off from all others
-  int circuits = 0;         // budget
+  Span at, lasts;            // budget: `lasts` is over how long offices come to know of it, one after another
+  std::vector<int> offices;  // part: cut off from all others
+  int circuits = 0;          // budget
 };
 
 struct ZoneDay {
@@ -31,15 +31,15 @@
   Way way = Way::lent;
   zones::Overrun overrun = zones::Overrun::stand;
   std::vector<zones::Kind> kinds{{1, 1, Span::ms(10000)}, {4, 0.5, Span::ms(10000)}};
-  std::vector<double> shares{0.9, 0.1};       // of the sessions, by service
-  std::vector<zones::ClassShare> classes;     // of the budget
-  double load = 0.8;                          // offered circuits over the budget's
-  double uneven = 1;                          // standard deviation of the logarithm of an office's share of the load
-  Span moves = Span::ms(60000);               // shares are drawn anew so often
+  std::vector<double> shares{0.9, 0.1};    // of the sessions, by service
+  std::vector<zones::ClassShare> classes;  // of the budget
+  double load = 0.8;                       // offered circuits over the budget's
+  double uneven = 1;                       // standard deviation of the logarithm of an office's share of the load
+  Span moves = Span::ms(60000);            // shares are drawn anew so often
   Span length = Span::ms(300000);
-  double loss = 0, twice = 0, late = 0;       // of words; late ones by up to `lateBy`
+  double loss = 0, twice = 0, late = 0;  // of words; late ones by up to `lateBy`
   Span delay = Span::ms(4), lateBy = Span::ms(2000);
-  double drift = 0;                           // clocks run apart by up to this share, and begin anywhere
+  double drift = 0;  // clocks run apart by up to this share, and begin anywhere
   std::uint64_t seed = 1;
   std::vector<ZoneTrouble> troubles;
   zones::LeaseSpans spans;
@@ -48,7 +48,7 @@
 struct ZoneResult {
   std::uint64_t offered = 0, refused = 0, ended = 0;  // sessions; ended: by the operator's word
   std::vector<std::uint64_t> offeredBy, refusedBy;    // by service
-  int mostOut = 0;          // circuits out at once, of the whole zone
+  int mostOut = 0;                                    // circuits out at once, of the whole zone
   int mostOver = 0;         // above the budget at that instant (above what stood when it was lowered)
   double overShare = 0;     // of the time
   double idleShare = 0;     // room while sessions were refused, over the budget, mean over refusals
--- a/src/net/attend.cpp
+++ b/src/net/attend.cpp
@@ -20,9 +20,7 @@
 
   void turn() {
     const Instant now = clock->now();
-    station->turn(now, [this](iax2::Address to, std::span<const std::uint8_t> datagram) {
-      port->send(to, datagram);
-    });
+    station->turn(now, [this](iax2::Address to, std::span<const std::uint8_t> datagram) { port->send(to, datagram); });
     alarm->set(station->nextTurn());
   }
 
--- a/src/net/real.cpp
+++ b/src/net/real.cpp
@@ -15,9 +15,9 @@
 namespace asio = boost::asio;
 using Steady = std::chrono::steady_clock;
 
-// The steady clock begins with the host, so what an office says of its start would go back when a host is started anew, and
-// another office would take it for the earlier one. Counted from the day's time as it was when this process began, it
-// goes on, and still never jumps.
+// The steady clock begins with the host, so what an office says of its start would go back when a host is started anew,
+// and another office would take it for the earlier one. Counted from the day's time as it was when this process began,
+// it goes on, and still never jumps.
 Span ofDay() {
   using std::chrono::duration;
   return Span::ms(duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count() -
@@ -32,13 +32,14 @@
   // Thirty years: far beyond any session, and in nanoseconds still within the clock's 64 bits. Past them the wait
   // would be over at once and its coroutine spin.
   const double ms = std::min((at - Instant()).ms(), 1e12);
-  return Steady::time_point(std::chrono::duration_cast<Steady::duration>(
-      std::chrono::duration<double, std::milli>(std::max(ms, 0.0))));
+  return Steady::time_point(
+      std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double, std::milli>(std::max(ms, 0.0))));
 }
 
 class RealAlarm final : public Alarm {
  public:
-  RealAlarm(const asio::any_io_executor& executor, Span ofDay) : timer_(executor, Steady::time_point::max()), ofDay_(ofDay) {}
+  RealAlarm(const asio::any_io_executor& executor, Span ofDay)
+      : timer_(executor, Steady::time_point::max()), ofDay_(ofDay) {}
 
   void set(Instant at) override {
     if (closed_ || at == at_) return;
@@ -119,11 +120,10 @@
   iax2::Address address() const override { return address_; }
   asio::awaitable<void> readable() override {
     boost::system::error_code error;
-    co_await socket_.async_wait(asio::ip::udp::socket::wait_read,
-                                asio::redirect_error(asio::use_awaitable, error));
+    co_await socket_.async_wait(asio::ip::udp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
   }
-  std::size_t drain(std::size_t most, const std::function<void(iax2::Address, std::span<const std::uint8_t>)>&
-                                          take) override {
+  std::size_t drain(std::size_t most,
+                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& take) override {
     std::size_t taken = 0;
     while (taken < most && socket_.is_open()) {
       const auto wanted = static_cast<unsigned>(std::min(most - taken, kAtOnce));
--- a/src/net/streams.cpp
+++ b/src/net/streams.cpp
@@ -19,8 +19,8 @@
 using asio::ip::tcp;
 using Error = boost::system::error_code;
 
-// One read, and how many of one connection before others get theirs: a few whole messages. A caller's set-up is decided on
-// only once what lies behind it was read too, be it a release or the end of the stream.
+// One read, and how many of one connection before others get theirs: a few whole messages. A caller's set-up is decided
+// on only once what lies behind it was read too, be it a release or the end of the stream.
 constexpr std::size_t kReadAtOnce = 16 * 1024;
 constexpr int kReadsInARow = 8;
 // How long what was sent last may take to go out and be taken once a stream is ended, and what is read and thrown
@@ -202,7 +202,7 @@
   void tellDown(const Error& error) {
     if (ended_) return;
     ended_ = true;
-    const StreamEnd how = !stands_                      ? StreamEnd::refused
+    const StreamEnd how = !stands_                    ? StreamEnd::refused
                           : error == asio::error::eof ? StreamEnd::closed
                                                       : StreamEnd::reset;
     const auto keep = shared_from_this();
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -79,9 +79,7 @@
 
 std::unique_ptr<Alarm> VirtualClock::alarm() { return std::make_unique<VirtualAlarm>(*this, context_, nullptr); }
 
-std::unique_ptr<Alarm> VirtualHost::alarm() {
-  return std::make_unique<VirtualAlarm>(clock_, clock_.context_, this);
-}
+std::unique_ptr<Alarm> VirtualHost::alarm() { return std::make_unique<VirtualAlarm>(clock_, clock_.context_, this); }
 
 void VirtualHost::freeze(bool frozen) {
   frozen_ = frozen;
@@ -122,8 +120,8 @@
   asio::awaitable<void> readable() override {
     while (!closed_ && (queue_.empty() || frozen_)) co_await bell_.wait();
   }
-  std::size_t drain(std::size_t most, const std::function<void(iax2::Address, std::span<const std::uint8_t>)>&
-                                          take) override {
+  std::size_t drain(std::size_t most,
+                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& take) override {
     std::size_t taken = 0;
     for (; taken < most && !queue_.empty() && !frozen_; ++taken) {
       const auto [from, bytes] = std::move(queue_.front());
--- a/src/office/list.hpp
+++ b/src/office/list.hpp
@@ -30,7 +30,7 @@
 struct ExchangeList {
   std::uint64_t directory = 0;  // changes when the directory is started anew: versions begin again
   std::uint64_t version = 0;
-  bool full = false;            // what it does not name is gone
+  bool full = false;  // what it does not name is gone
   std::vector<Listing> listings;
   std::vector<GroupSize> groups;
 };
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -1,12 +1,12 @@
 #include "office/office.hpp"
 
-#include "zones/word.hpp"
-
 #include <algorithm>
 #include <sstream>
 #include <tuple>
 #include <utility>
 
+#include "zones/word.hpp"
+
 namespace thistlefold {
 
 using iax2::Why;
@@ -32,8 +32,8 @@
 // An office that waits for a list this long asks again.
 constexpr Span kListWithin = Span::ms(1000);
 
-// A directory sends its list each second. One of an earlier start that still speaks after the newer has been silent for so
-// long has taken its place, with a clock that is behind; a datagram that was late is never that late.
+// A directory sends its list each second. One of an earlier start that still speaks after the newer has been silent for
+// so long has taken its place, with a clock that is behind; a datagram that was late is never that late.
 constexpr Span kDirectoryTerm = Span::ms(10000);
 
 // A terminating session is ended here this much after its sender should have ended it.
@@ -50,8 +50,8 @@
   const Place& site;
   Trunk trunk;
   Readiness told = Readiness::gone;
-  std::uint64_t start = 0;  // the directory's mark of its processor
-  std::uint64_t mark = 0;   // its own mark, from PONG
+  std::uint64_t start = 0;               // the directory's mark of its processor
+  std::uint64_t mark = 0;                // its own mark, from PONG
   Instant aliveAt = Instant::longAgo();  // when the newest POKE was sent that it has answered
   Instant heardAt = Instant::longAgo();  // silence counts from here: aliveAt, or when this office could listen again
   Instant pokedAt = Instant::longAgo();
@@ -73,7 +73,7 @@
   State state = State::asked;
   Leg* in = nullptr;
   Leg* out = nullptr;
-  Peer* at = nullptr;  // where the INVITE went
+  Peer* at = nullptr;           // where the INVITE went
   zones::Cell* cell = nullptr;  // of the account, while it stands over a leg that crosses zones
   std::string called, calling;
   std::size_t offer = 0;
@@ -163,8 +163,8 @@
   }
   for (std::size_t i = 0; i < fleet.places.size(); ++i) {
     const int place = static_cast<int>(i);
-    peers_.push_back(std::make_unique<Peer>(
-        fleet.places[i], Trunk(fleet.circuits(setting.place, place), setting.place < place)));
+    peers_.push_back(
+        std::make_unique<Peer>(fleet.places[i], Trunk(fleet.circuits(setting.place, place), setting.place < place)));
     Peer& peer = *peers_.back();
     peer.place = place;
     peer.own = place == setting.place;
@@ -199,9 +199,9 @@
     const auto word = zones::decodeWord(datagram);
     const Peer& peer = *byOffice_[from];
     // Others speak for themselves only.
-    const bool taken = word && word->from == peer.place && word->zone >= 0 &&
-                       static_cast<std::size_t>(word->zone) < pools_.size() &&
-                       zoneOf_[static_cast<std::size_t>(peer.place)] == zoneOf_[static_cast<std::size_t>(setting_.place)];
+    const bool taken =
+        word && word->from == peer.place && word->zone >= 0 && static_cast<std::size_t>(word->zone) < pools_.size() &&
+        zoneOf_[static_cast<std::size_t>(peer.place)] == zoneOf_[static_cast<std::size_t>(setting_.place)];
     if (taken) {
       pools_[static_cast<std::size_t>(word->zone)]->hear(now, *word);
     } else {
@@ -262,11 +262,12 @@
   const int width = *e.width;
   const std::uint64_t mark = *e.started;
   std::optional<zones::Key> mirrored;
-  if (const int there = zoneOf_[static_cast<std::size_t>(peer.place)], here = zoneOf_[static_cast<std::size_t>(setting_.place)];
+  if (const int there = zoneOf_[static_cast<std::size_t>(peer.place)],
+      here = zoneOf_[static_cast<std::size_t>(setting_.place)];
       there != here) {
     // Whose session it is stands in its number's highest bits.
     const bool own = *e.session >> 52 == static_cast<std::uint64_t>(peer.place + 1);
-    const zones::Way way = !own                          ? zones::Way::second
+    const zones::Way way = !own                           ? zones::Way::second
                            : *e.towards == setting_.place ? zones::Way::direct
                                                           : zones::Way::first;
     mirrored = zones::Key{there, here, service, way};
@@ -381,7 +382,8 @@
   }
   if (frame.is(iax2::Control::ringing) || frame.is(iax2::Control::proceeding)) {
     // Once: each frame that is passed on waits for its acknowledgement, and sequence numbers have eight bits.
-    if (held->state == Held::State::ringing && held->acceptedIn && held->in != nullptr && !std::exchange(held->rang, true)) {
+    if (held->state == Held::State::ringing && held->acceptedIn && held->in != nullptr &&
+        !std::exchange(held->rang, true)) {
       endpoint_.send(now_, *held->in->call, static_cast<iax2::Control>(frame.subclass));
     }
     return;
@@ -586,7 +588,8 @@
     leg.peer->trunk.release(leg.circuits);
     if (leg.mirrored) {
       mirrors_.of(leg.peer->place, leg.mark, *leg.mirrored).circuitMicroseconds +=
-          static_cast<std::uint64_t>(std::max(0.0, (now_ - leg.openedAt).ms()) * 1000) * static_cast<std::uint64_t>(leg.circuits);
+          static_cast<std::uint64_t>(std::max(0.0, (now_ - leg.openedAt).ms()) * 1000) *
+          static_cast<std::uint64_t>(leg.circuits);
     }
     if (leg.cell != nullptr) {
       leg.cell->released(now_, leg.circuits);
@@ -684,11 +687,12 @@
 
 zones::Pool* Office::poolOf(const Peer& to) {
   const int there = zoneOf_[static_cast<std::size_t>(to.place)];
-  return there == zoneOf_[static_cast<std::size_t>(setting_.place)] ? nullptr : pools_[static_cast<std::size_t>(there)].get();
+  return there == zoneOf_[static_cast<std::size_t>(setting_.place)] ? nullptr
+                                                                    : pools_[static_cast<std::size_t>(there)].get();
 }
 
-/// All groups that share a budget are shown anew, where it makes a difference: while the budget is the wider of the two it
-/// makes none, and telling the module of every group at every session cost half as much as the session.
+/// All groups that share a budget are shown anew, where it makes a difference: while the budget is the wider of the two
+/// it makes none, and telling the module of every group at every session cost half as much as the session.
 void Office::budgetChanged(const zones::Pool& pool) {
   if (!pool.bounded()) return;
   for (const auto& peer : peers_) {
@@ -829,16 +833,17 @@
   ++tally_.refused;
   // A group that is shown without circuits is not tried, so that its budget would never hear that it is wanted.
   if (held.destination != nullptr && held.lastReason != Reason::lineBusy) {
-    if (zones::Pool* pool = poolOf(static_cast<const Peer&>(*held.destination)); pool != nullptr && !pool->admits(now_, held.offer)) {
+    if (zones::Pool* pool = poolOf(static_cast<const Peer&>(*held.destination));
+        pool != nullptr && !pool->admits(now_, held.offer)) {
       pool->refused(now_, held.offer);
     }
   }
   tell(Happening::What::refused, &held, held.at,
-       held.destination == nullptr              ? "no such number"
-       : held.lastReason == Reason::lineBusy    ? "line busy"
-       : held.lastEnding == Ending::timedOut    ? "no answer in time"
-       : held.lastEnding == Ending::reset       ? "reset"
-                                                : "no way in time");
+       held.destination == nullptr           ? "no such number"
+       : held.lastReason == Reason::lineBusy ? "line busy"
+       : held.lastEnding == Ending::timedOut ? "no answer in time"
+       : held.lastEnding == Ending::reset    ? "reset"
+                                             : "no way in time");
   if (held.destination == nullptr) {
     return answerNo(held, Why::noRoute, false, Span::none(), kNoRoute, "no such number");
   }
@@ -968,8 +973,8 @@
     peer = it->second;
   }
   if (peer == nullptr || !frame.elements.started) return;
-  // It was alive when the POKE was sent that this answers; when this came in says less, as it may have waited on the way
-  // or here. One that answers an earlier POKE than has been answered is late, maybe of one that was started anew
+  // It was alive when the POKE was sent that this answers; when this came in says less, as it may have waited on the
+  // way or here. One that answers an earlier POKE than has been answered is late, maybe of one that was started anew
   // since: marks alone don't tell which came first, as clocks may begin again. One that is as late as a silence is long
   // says nothing.
   const auto ago = static_cast<std::int32_t>(iax2::pokeStamp(now_) - frame.timestamp);
@@ -1060,7 +1065,9 @@
     peer.told = readiness;
     if (&peer == own_) own_->canTake = -1;
     tell(Happening::What::listed, nullptr, &peer,
-         readiness == Readiness::ready ? "ready" : readiness == Readiness::draining ? "draining" : "gone");
+         readiness == Readiness::ready      ? "ready"
+         : readiness == Readiness::draining ? "draining"
+                                            : "gone");
     Event listed(Event::Kind::listed);
     listed.peer = &peer;
     listed.readiness = readiness;
@@ -1092,9 +1099,9 @@
   const int from = zoneOf_[static_cast<std::size_t>(setting_.place)];
   const int there = zoneOf_[static_cast<std::size_t>(to.place)];
   if (from == there) return nullptr;
-  const zones::Way way = held.transit             ? zones::Way::second
-                           : &to == held.destination ? zones::Way::direct
-                                                     : zones::Way::first;
+  const zones::Way way = held.transit              ? zones::Way::second
+                         : &to == held.destination ? zones::Way::direct
+                                                   : zones::Way::first;
   return &ledger_.cell({from, there, static_cast<int>(held.offer), way});
 }
 
@@ -1110,15 +1117,30 @@
   out << "{\"office\":\"" << own_->site.name << "\",\"up_ms\":" << static_cast<std::int64_t>((now - started_).ms())
       << ",\"stopping\":" << (stopping_ ? "true" : "false") << ",\"sessions\":" << held_.size()
       << ",\"standing\":" << standing_ << ",\"legs\":" << legs_.size();
-  const std::pair<const char*, std::uint64_t> counts[] = {
-      {"dialled", tally_.dialled},         {"transit", tally_.transit},     {"terminating", tally_.terminating},
-      {"invites", tally_.invites},         {"two_leg", tally_.twoLeg},      {"stood", tally_.stood},
-      {"refused", tally_.refused},         {"abandoned", tally_.abandoned}, {"cut", tally_.cut},
-      {"turned_back", tally_.turnedBack},  {"no_circuit", tally_.noCircuit}, {"timed_out", tally_.timedOut},
-      {"reset", tally_.reset},             {"over_full", tally_.overFull},  {"rounds", tally_.rounds},
-      {"lists", tally_.listsTaken},        {"lists_stale", tally_.listsStale}, {"unreadable", tally_.unreadable},
-      {"datagrams_in", wire().received},   {"datagrams_out", wire().sent},  {"malformed", wire().malformed},
-      {"retransmitted", wire().retransmitted}, {"unknown_call", wire().unknownCall}, {"repeated", wire().repeated}};
+  const std::pair<const char*, std::uint64_t> counts[] = {{"dialled", tally_.dialled},
+                                                          {"transit", tally_.transit},
+                                                          {"terminating", tally_.terminating},
+                                                          {"invites", tally_.invites},
+                                                          {"two_leg", tally_.twoLeg},
+                                                          {"stood", tally_.stood},
+                                                          {"refused", tally_.refused},
+                                                          {"abandoned", tally_.abandoned},
+                                                          {"cut", tally_.cut},
+                                                          {"turned_back", tally_.turnedBack},
+                                                          {"no_circuit", tally_.noCircuit},
+                                                          {"timed_out", tally_.timedOut},
+                                                          {"reset", tally_.reset},
+                                                          {"over_full", tally_.overFull},
+                                                          {"rounds", tally_.rounds},
+                                                          {"lists", tally_.listsTaken},
+                                                          {"lists_stale", tally_.listsStale},
+                                                          {"unreadable", tally_.unreadable},
+                                                          {"datagrams_in", wire().received},
+                                                          {"datagrams_out", wire().sent},
+                                                          {"malformed", wire().malformed},
+                                                          {"retransmitted", wire().retransmitted},
+                                                          {"unknown_call", wire().unknownCall},
+                                                          {"repeated", wire().repeated}};
   for (const auto& [name, count] : counts) out << ",\"" << name << "\":" << count;
   out << ",\"exchanges\":[";
   for (std::size_t i = 0; i < peers_.size(); ++i) {
@@ -1129,7 +1151,8 @@
                                                : "gone")
         << "\",\"own\":" << (peer.own ? "true" : "false") << ",\"circuits\":" << peer.trunk.size()
         << ",\"free\":" << peer.trunk.free() << ",\"silent\":" << (peer.silent ? "true" : "false")
-        << ",\"doubtful\":" << (peer.doubtedAt != Instant::longAgo() ? "true" : "false") << ",\"ringing\":" << peer.ringing.size() << '}';
+        << ",\"doubtful\":" << (peer.doubtedAt != Instant::longAgo() ? "true" : "false")
+        << ",\"ringing\":" << peer.ringing.size() << '}';
   }
   out << "]}";
   return out.str();
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -46,9 +46,9 @@
 struct OfficeSetting {
   int place = 0;
   std::uint64_t seed = 1;
-  std::size_t mostSessions = 20000;     // held at once; a NEW beyond is refused at once, counted
-  Span peerPoke = Span::ms(1000);       // how often other offices are asked for a sign of life
-  Span peerSilent = Span::ms(6000);     // silence after which sessions over a peer are given up: six signs missed
+  std::size_t mostSessions = 20000;  // held at once; a NEW beyond is refused at once, counted
+  Span peerPoke = Span::ms(1000);    // how often other offices are asked for a sign of life
+  Span peerSilent = Span::ms(6000);  // silence after which sessions over a peer are given up: six signs missed
   Span exchangePoke = Span::ms(300);
   iax2::Patience patience;
 };
@@ -61,10 +61,7 @@
                 rounds = 0, listsTaken = 0, listsStale = 0, unreadable = 0;
 };
 
-class Office final : public Station,
-                     private iax2::Door,
-                     private Arrivals,
-                     private Writer {
+class Office final : public Station, private iax2::Door, private Arrivals, private Writer {
  public:
   /// `fleet` must outlive the office.
   Office(const Fleet& fleet, OfficeSetting setting, Instant now, const MakeController& make = openOffice,
@@ -195,8 +192,8 @@
     Instant at;
     int zone, circuits;
   };
-  std::vector<BudgetChange> budgetChanges_;  // the last of them
-  zones::Mirrors mirrors_;              // what other offices sent here across zones
+  std::vector<BudgetChange> budgetChanges_;          // the last of them
+  zones::Mirrors mirrors_;                           // what other offices sent here across zones
   std::vector<std::unique_ptr<zones::Pool>> pools_;  // by zone that a leg goes to
 };
 
--- a/src/office/zones_report.cpp
+++ b/src/office/zones_report.cpp
@@ -67,8 +67,9 @@
     out << ",\"classes\":[";
     for (std::size_t i = 0; i < fleet_.offers.size(); ++i) {
       const zones::ClassShare& share = part.bounds()->classes[i];
-      out << (i > 0 ? "," : "") << "{\"service\":\"" << fleet_.offers[i].name << "\",\"guaranteed\":" << share.guaranteed
-          << ",\"most\":" << share.most.value_or(-1) << ",\"held\":" << part.heldBy(i) << '}';
+      out << (i > 0 ? "," : "") << "{\"service\":\"" << fleet_.offers[i].name
+          << "\",\"guaranteed\":" << share.guaranteed << ",\"most\":" << share.most.value_or(-1)
+          << ",\"held\":" << part.heldBy(i) << '}';
     }
     out << "]}";
   }
@@ -82,8 +83,9 @@
   first = true;
   for (std::size_t zone = 0; zone < users_.size(); ++zone) {
     for (const zones::TopUsers::User& user : users_[zone].top(kUsersTold)) {
-      out << (std::exchange(first, false) ? "" : ",") << "{\"to\":\"" << zoneNames_[zone] << "\",\"user\":"
-          << quoted(user.name) << ",\"circuit_ms\":" << user.sum << ",\"slack_ms\":" << user.slack << '}';
+      out << (std::exchange(first, false) ? "" : ",") << "{\"to\":\"" << zoneNames_[zone]
+          << "\",\"user\":" << quoted(user.name) << ",\"circuit_ms\":" << user.sum << ",\"slack_ms\":" << user.slack
+          << '}';
     }
   }
   out << "]}";
@@ -114,9 +116,10 @@
         if (one != nullptr) sums += *one;
       }
       if (sums == zones::Sums()) continue;
-      out << (std::exchange(first, false) ? "" : ",") << "{\"ago\":" << ago << ",\"service\":\"" << fleet_.offers[service].name
-          << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood << ",\"cut\":" << sums.cut
-          << ",\"refused\":" << sums.refused << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
+      out << (std::exchange(first, false) ? "" : ",") << "{\"ago\":" << ago << ",\"service\":\""
+          << fleet_.offers[service].name << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
+          << ",\"cut\":" << sums.cut << ",\"refused\":" << sums.refused
+          << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
     }
     whole = static_cast<std::size_t>(out.tellp()) < kLongestAnswer;
   }
--- a/src/pages/zones_page.cpp
+++ b/src/pages/zones_page.cpp
@@ -80,7 +80,8 @@
   for (std::size_t from = 0; from < zones.size(); ++from) {
     for (std::size_t to = 0; to < zones.size(); ++to) {
       const auto it = pairs.find({zones[from], zones[to]});
-      script << to << ' ' << from << ' ' << (it == pairs.end() ? 0.0 : static_cast<double>(it->second.circuitMicroseconds) / 1e6) << '\n';
+      script << to << ' ' << from << ' '
+             << (it == pairs.end() ? 0.0 : static_cast<double>(it->second.circuitMicroseconds) / 1e6) << '\n';
     }
   }
   script << "EOD\nset xlabel 'to'\nset ylabel 'from'\nset palette defined (0 'white', 1 '#1f5fa8')\nset cblabel "
@@ -147,7 +148,8 @@
     }
     script << "0 " << whole << "\nEOD\n";
   }
-  script << "set xlabel 'seconds'\nset ylabel 'circuits'\nset yrange [0:*]\nset key outside\nset style fill solid 0.7\nplot ";
+  script << "set xlabel 'seconds'\nset ylabel 'circuits'\nset yrange [0:*]\nset key outside\nset style fill solid "
+            "0.7\nplot ";
   std::size_t column = use.size() + 1;
   bool first = true;
   for (auto it = use.rbegin(); it != use.rend(); ++it, --column) {
@@ -235,13 +237,15 @@
     }
   }
   std::vector<std::pair<Pair, std::pair<double, double>>> sorted(users.begin(), users.end());
-  std::stable_sort(sorted.begin(), sorted.end(), [](const auto& a, const auto& b) { return a.second.first > b.second.first; });
+  std::stable_sort(sorted.begin(), sorted.end(),
+                   [](const auto& a, const auto& b) { return a.second.first > b.second.first; });
   if (sorted.size() > 20) sorted.resize(20);
   if (!sorted.empty()) {
     auto* table = page.AddSectionDictionary("HAS_USER");
     std::ostringstream script;
     script << "$u << EOD\n";
-    for (const auto& [user, sums] : sorted) script << quoted(user.first + " to " + user.second) << ' ' << sums.first << '\n';
+    for (const auto& [user, sums] : sorted)
+      script << quoted(user.first + " to " + user.second) << ' ' << sums.first << '\n';
     script << "EOD\nset style data histogram\nset style fill solid 0.7\nset xtics rotate by -40\nset ylabel "
               "'circuit-seconds'\nset yrange [0:*]\nplot $u using 2:xtic(1) notitle lc rgb '#1f5fa8'";
     table->SetValue("USERS", plot(script.str()));
@@ -257,7 +261,8 @@
   if (budgets.empty()) page.ShowSection("NO_BUDGET");
   if (users.empty()) page.ShowSection("NO_USER");
   std::string out;
-  if (!ctemplate::ExpandTemplate("zones", ctemplate::DO_NOT_STRIP, &page, &out)) throw NoPlot("the page's template can't be read");
+  if (!ctemplate::ExpandTemplate("zones", ctemplate::DO_NOT_STRIP, &page, &out))
+    throw NoPlot("the page's template can't be read");
   return out;
 }
 
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -79,7 +79,8 @@
     BulletinEvent event;
     const double number = wire::number(item, "no");
     // Whole numbers up to there are exact.
-    if (!(number >= 1 && number <= 9e15 && number == std::floor(number))) wire::wrong("no", "a number from 1 is wanted");
+    if (!(number >= 1 && number <= 9e15 && number == std::floor(number)))
+      wire::wrong("no", "a number from 1 is wanted");
     event.number = static_cast<std::uint64_t>(number);
     const auto& roster = wire::object(item, "roster");
     event.whole = wire::mark(roster, "all");
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -10,8 +10,8 @@
 
 // Share of the connections; exchanges have 35%, the rest is for the bulletin and for connections that are being closed.
 constexpr double kShareOfCallers = 0.5;
-// The platform wants whoever says nothing usable told so or closed within three seconds of connecting. Until shortly before
-// that a set-up may come in pieces.
+// The platform wants whoever says nothing usable told so or closed within three seconds of connecting. Until shortly
+// before that a set-up may come in pieces.
 constexpr Span kSpeakWithin = Span::ms(2700);
 // In this time a caller that has connected is read, also in a flood.
 constexpr Span kJustNow = Span::ms(100);
@@ -36,9 +36,9 @@
   now_ = now;
   const auto bound = static_cast<std::size_t>(kShareOfCallers * deployment_.connections);
   if (callers_.size() >= bound) {
-    // Who carries no set-up makes room: first the mute, then who asked and stays, then who came or spoke only just now or
-    // is halfway through a message, whose set-up may be on its way, last who had a call stand; the longest silent first. A
-    // set-up that lies unread is taken already. Where all carry one the new one goes.
+    // Who carries no set-up makes room: first the mute, then who asked and stays, then who came or spoke only just now
+    // or is halfway through a message, whose set-up may be on its way, last who had a call stand; the longest silent
+    // first. A set-up that lies unread is taken already. Where all carry one the new one goes.
     const auto rank = [now](const CallerSide& side) {
       const bool coming = now - side.spoke < kJustNow || side.lines.broken();
       return std::pair(side.trusted ? 3 : coming ? 2 : side.proven ? 1 : 0, side.spoke);
@@ -136,8 +136,8 @@
     const auto text = figure(extras, name);
     return text ? readNumber(*text) : std::nullopt;
   };
-  const auto service = std::find(deployment_.services.begin(), deployment_.services.end(),
-                                 message.field("class").value_or(""));
+  const auto service =
+      std::find(deployment_.services.begin(), deployment_.services.end(), message.field("class").value_or(""));
   const auto left = readNumber(message.field("left").value_or(""));
   const auto dest = figureOf("dest");
   const std::string_view key = message.field("key").value_or("");
@@ -189,7 +189,8 @@
     }
     return;
   }
-  const auto was = std::find_if(overUnknown_.begin(), overUnknown_.end(), [&](const Over& one) { return one.id == message.id; });
+  const auto was =
+      std::find_if(overUnknown_.begin(), overUnknown_.end(), [&](const Over& one) { return one.id == message.id; });
   if (was != overUnknown_.end()) {
     side.proven = side.trusted = true;
     side.stream->send(writeMessage(Kind::release, message.id, {}, was->cause));
@@ -249,9 +250,10 @@
   std::string().swap(call.description);
 }
 
-/// Where this side closes, each set-up that is open on it gets its final answer first. `atOnce`: where nothing must still go
-/// out, its descriptor is free for the next at once. A caller that closes its own direction alone is taken for gone like one
-/// that closes both: the platform's callers give up what is open by closing, and from here the two look the same.
+/// Where this side closes, each set-up that is open on it gets its final answer first. `atOnce`: where nothing must
+/// still go out, its descriptor is free for the next at once. A caller that closes its own direction alone is taken for
+/// gone like one that closes both: the platform's callers give up what is open by closing, and from here the two look
+/// the same.
 void Softswitch::closeCaller(CallerSide& side, bool atOnce) {
   const bool owes = side.open > 0;
   for (auto& [id, call] : calls_) {
@@ -265,7 +267,7 @@
   if (side.stream != nullptr) {
     // A close with something unread is a reset, and takes along what is still on its way to the caller.
     const bool clean = !owes && side.stream->unsent() == 0 && !side.stream->unread();
-    atOnce && clean ? side.stream->cut() : side.stream->end();
+    atOnce&& clean ? side.stream->cut() : side.stream->end();
     side.stream = nullptr;
   }
   const auto it = std::find_if(callers_.begin(), callers_.end(), [&](const auto& one) { return one.get() == &side; });
--- a/src/platform/deployment.hpp
+++ b/src/platform/deployment.hpp
@@ -18,13 +18,13 @@
   iax2::Address listen;
   iax2::Address bulletin;
   std::uint64_t seed = 0;
-  int connections = 240;  // at once, of any kind; what the descriptors leave
+  int connections = 240;          // at once, of any kind; what the descriptors leave
   std::size_t memory = 32 << 20;  // bytes
   std::vector<BulletinEvent> known;
   OfficeData data;
-  int here = -1;               // the own exchange's place
+  int here = -1;                      // the own exchange's place
   std::vector<std::string> services;  // names, in the order of `data.services`
-  std::vector<double> widths;  // circuits, where a set-up names none
+  std::vector<double> widths;         // circuits, where a set-up names none
   std::vector<std::string> reports;   // names of a report's figures, in order
   std::size_t openCalls = 20000;      // set-ups held at once
   Span connectWithin;
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -63,7 +63,8 @@
 }
 
 TrunkSide* Softswitch::dial(Peer& peer) {
-  if (static_cast<double>(trunkCount_) >= kShareOfTrunks * deployment_.connections && !makeRoomFor(peer)) return nullptr;
+  if (static_cast<double>(trunkCount_) >= kShareOfTrunks * deployment_.connections && !makeRoomFor(peer))
+    return nullptr;
   Stream* stream = dialler_->dial(peer.address);
   if (stream == nullptr) return nullptr;
   ++counts_.dialled;
@@ -140,7 +141,8 @@
     side = nullptr;
     for (const auto& one : peer.sides) {
       if (!one->up || one->stream == nullptr) continue;
-      if (side == nullptr || std::pair(!one->doubtful, one->heard) > std::pair(!side->doubtful, side->heard)) side = one.get();
+      if (side == nullptr || std::pair(!one->doubtful, one->heard) > std::pair(!side->doubtful, side->heard))
+        side = one.get();
     }
   }
   if (side != nullptr) return writeTo(*side, id, cause);
@@ -153,8 +155,8 @@
   side.told.push_back({id, cause, now_});
 }
 
-/// What waits for a connection and must not go out any more is the module's again: since it was sent its exchange was told of
-/// as leaving, as another process, or at no address.
+/// What waits for a connection and must not go out any more is the module's again: since it was sent its exchange was
+/// told of as leaving, as another process, or at no address.
 void Softswitch::takeBack(TrunkSide& side) {
   const Peer& peer = *side.peer;
   const bool leaving = peer.readiness != Readiness::ready || peer.address == iax2::Address{};
@@ -176,7 +178,8 @@
     const bool isFree = name == "free" || name == "x0", isSize = name == "size" || name == "x1";
     const bool isRoom = name == "can_take" || name == "qps";
     auto text = figure(*load, name);
-    if (!text) text = isFree ? figure(*load, "x0") : isSize ? figure(*load, "x1") : isRoom ? figure(*load, "qps") : text;
+    if (!text)
+      text = isFree ? figure(*load, "x0") : isSize ? figure(*load, "x1") : isRoom ? figure(*load, "qps") : text;
     if (!text) continue;
     const auto value = readNumber(*text);
     if (!value || *value < 0) continue;
@@ -309,7 +312,8 @@
   --trunkCount_;
   peer.nextDial = now_ + peer.redial;
   if (!wasUp) peer.redial = std::min(peer.redial * 2.0, kRedialLast);
-  const auto it = std::find_if(peer.sides.begin(), peer.sides.end(), [&](const auto& one) { return one.get() == &side; });
+  const auto it =
+      std::find_if(peer.sides.begin(), peer.sides.end(), [&](const auto& one) { return one.get() == &side; });
   dead_.push_back(std::move(*it));
   peer.sides.erase(it);
 }
@@ -345,11 +349,13 @@
       } else if (side.doubtful && side.ringing.empty() && now_ - side.spokenTo > kDoubtful) {
         lose(side, Ending::unreachable);
         peer.nextDial = now_;
-      } else if (side.up && side.ringing.empty() && peer.sides.size() > kSpareTrunks && now_ - side.heard > kIdleTrunk) {
+      } else if (side.up && side.ringing.empty() && peer.sides.size() > kSpareTrunks &&
+                 now_ - side.heard > kIdleTrunk) {
         lose(side, Ending::unreachable);
       }
     }
-    if (peer.refusedSince != Instant::never() && now_ - peer.refusedSince > kDeadAfter) cutStanding(peer, Instant::never());
+    if (peer.refusedSince != Instant::never() && now_ - peer.refusedSince > kDeadAfter)
+      cutStanding(peer, Instant::never());
     if (peer.address == iax2::Address{}) continue;
     const Span quiet = now_ - peer.alive;
     if (!peer.standing.empty() && quiet > kQuiet && now_ - peer.triedAt > kTryEvery) {
@@ -358,7 +364,8 @@
     }
     if (quiet > kVanished && peer.untaken >= 2) cutStanding(peer, Instant::never());
     const bool wanted = peer.readiness == Readiness::ready || !peer.standing.empty() || !peer.owed.empty();
-    const bool usable = std::any_of(peer.sides.begin(), peer.sides.end(), [](const auto& side) { return !side->doubtful; });
+    const bool usable =
+        std::any_of(peer.sides.begin(), peer.sides.end(), [](const auto& side) { return !side->doubtful; });
     if (wanted && !usable && peer.sides.size() < kSidesOfPeer && peer.nextDial <= now_) dial(peer);
     if (peer.readiness == Readiness::gone && peer.standing.empty()) {
       peer.owed.clear();
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -28,8 +28,8 @@
 
 std::optional<Message> readMessage(std::string_view line) {
   // Iterative, so that no nesting fills the stack; numbers stay as they were written.
-  constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag |
-                              rapidjson::kParseNumbersAsStringsFlag;
+  constexpr unsigned kFlags =
+      rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag | rapidjson::kParseNumbersAsStringsFlag;
   rapidjson::Document read;
   read.Parse<kFlags>(line.data(), line.size());
   if (read.HasParseError() || !read.IsObject()) return std::nullopt;
--- a/src/platform/message.hpp
+++ b/src/platform/message.hpp
@@ -23,7 +23,7 @@
   Kind kind = Kind::other;
   std::string id;
   std::optional<int> cause;
-  std::string description;  // empty: none
+  std::string description;                                  // empty: none
   std::vector<std::pair<std::string, std::string>> fields;  // numbers as they were written
 
   /// Nothing if the field is not there.
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -9,18 +9,18 @@
 
 // What may wait to go out to one caller.
 constexpr std::size_t kUnsent = 64 * 1024;
-// The bulletin sends an empty frame each second. What it would have told counts as told four seconds after it stopped and two
-// after a break; within that each office asks again at an instant of its own, as all of them lose it at once.
+// The bulletin sends an empty frame each second. What it would have told counts as told four seconds after it stopped
+// and two after a break; within that each office asks again at an instant of its own, as all of them lose it at once.
 constexpr Span kBulletinSilent = Span::ms(1600);
 constexpr Span kSpread = Span::ms(400);
 constexpr Span kRedialBulletin = Span::ms(100);
 constexpr Span kRedialBulletinLast = Span::ms(300);
 // How often connections are looked after.
 constexpr Span kKeeping = Span::ms(20);
-// A planned restart. SIGKILL comes no sooner than the longest limit, three seconds at most, and 0.7 s more after SIGTERM;
-// until shortly before, calls in transit are carried on, so other offices keep their tandem.
+// A planned restart. SIGKILL comes no sooner than the longest limit, three seconds at most, and 0.7 s more after
+// SIGTERM; until shortly before, calls in transit are carried on, so other offices keep their tandem.
 constexpr Span kLongestLeave = Span::ms(3000);
-constexpr Span kLeaveSpare = Span::ms(400);   // over that limit; the rest is for the last answers to go out
+constexpr Span kLeaveSpare = Span::ms(400);  // over that limit; the rest is for the last answers to go out
 
 constexpr int kRefused = 34;
 
@@ -120,7 +120,8 @@
   Side& side = *static_cast<Side*>(stream.kept);
   side.stream = nullptr;
   if (side.what == Side::What::bulletin) {
-    if (!bulletin_->lost) tell_("bulletin " + iax2::text(deployment_.bulletin) + ": no connection; asked until there is one");
+    if (!bulletin_->lost)
+      tell_("bulletin " + iax2::text(deployment_.bulletin) + ": no connection; asked until there is one");
     bulletin_->lost = true;
     askBulletinWithin(bulletin_->redial * 2.0);
     bulletin_->redial = std::min(bulletin_->redial * 2.0, kRedialBulletinLast);
@@ -227,7 +228,8 @@
   while (const auto event = from.frames.next()) {
     from.silentAt = now_ + kBulletinSilent + kSpread * chance();
     const bool news = event->whole || !event->places.empty();
-    // What lies between was lost on the way; an empty frame tells the last number too. Once asked for in vain it is not there.
+    // What lies between was lost on the way; an empty frame tells the last number too. Once asked for in vain it is not
+    // there.
     if (!event->whole && event->number > from.last + (news ? 1 : 0) && from.gapAfter != from.last) {
       from.gapAfter = from.last;
       tell_("bulletin: an event is missing; asked again");
@@ -337,7 +339,8 @@
                     " cut=" + std::to_string(counts_.cut) + " unusable=" + std::to_string(counts_.unusable) +
                     " spoilt=" + std::to_string(counts_.spoilt) + " dialled=" + std::to_string(counts_.dialled) +
                     " not-up=" + std::to_string(counts_.notUp) + " over-bound=" + std::to_string(counts_.overBound) +
-                    " taken-back=" + std::to_string(counts_.takenBack) + " asked=" + std::to_string(counts_.asked) + " last-event=" + std::to_string(bulletin_->last) +
+                    " taken-back=" + std::to_string(counts_.takenBack) + " asked=" + std::to_string(counts_.asked) +
+                    " last-event=" + std::to_string(bulletin_->last) +
                     " listed=" + std::to_string(roster_.all().size());
   for (const auto& [id, listed] : roster_.all()) {
     const auto& peer = static_cast<const Peer&>(*listed);
@@ -349,12 +352,15 @@
     };
     char who[48];
     std::snprintf(who, sizeof who, " | s-%08x place=%d %s", id, peer.place,
-                  peer.own ? "own" : peer.readiness == Readiness::ready ? "ready" : "leaving");
+                  peer.own                             ? "own"
+                  : peer.readiness == Readiness::ready ? "ready"
+                                                       : "leaving");
     out += who;
     const bool told = peer.circuits >= 0, room = peer.canTake.size() > 0;
     out += " free=" + figure(told, peer.freeCircuits) + " size=" + figure(told, peer.circuits) +
-           " takes=" + figure(room, room ? peer.canTake.last().value : 0) + " sides=" + std::to_string(peer.sides.size()) +
-           " ringing=" + std::to_string(peer.ringing.size()) + " standing=" + std::to_string(peer.standing.size());
+           " takes=" + figure(room, room ? peer.canTake.last().value : 0) +
+           " sides=" + std::to_string(peer.sides.size()) + " ringing=" + std::to_string(peer.ringing.size()) +
+           " standing=" + std::to_string(peer.standing.size());
   }
   return out;
 }
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -28,12 +28,13 @@
 /// What passed since the start.
 struct Counts {
   std::uint64_t taken = 0, answered = 0, refused = 0, failed = 0, abandoned = 0, invites = 0, cut = 0;
-  std::uint64_t unusable = 0;   // messages or streams from callers that can't be used
-  std::uint64_t spoilt = 0;     // streams from exchanges that can't be read any more
+  std::uint64_t unusable = 0;  // messages or streams from callers that can't be used
+  std::uint64_t spoilt = 0;    // streams from exchanges that can't be read any more
   std::uint64_t dialled = 0, notUp = 0;
   std::uint64_t overBound = 0;  // set-ups turned away at a bound of this office
-  std::uint64_t takenBack = 0;  // INVITEs that waited for a connection until their exchange was told of as leaving or anew
-  std::uint64_t asked = 0;      // connections to the bulletin
+  std::uint64_t takenBack =
+      0;                    // INVITEs that waited for a connection until their exchange was told of as leaving or anew
+  std::uint64_t asked = 0;  // connections to the bulletin
 };
 
 /// One softswitch on the platform's protocol: connections, set-ups and standing calls between messages and the
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -107,7 +107,8 @@
     waiting_.push_back(&session);
     session.lot = std::generate_canonical<double, 24>(chance_);
     if (session.transit) return;
-    offered_.add(now_, {worth(session), inTime(session), !isRedial, session.destination != nullptr ? session.destination->place : -1});
+    offered_.add(now_, {worth(session), inTime(session), !isRedial,
+                        session.destination != nullptr ? session.destination->place : -1});
   }
 
   void accepted(Session& session, Span postDialDelay) override {
@@ -146,8 +147,7 @@
       session.mayHaveRun = true;
     }
     if (session.transit) return refuseLater(session, Span::none());
-    const bool mayBeHeld =
-        ending == Ending::timedOut || ending == Ending::reset || ending == Ending::cancelled;
+    const bool mayBeHeld = ending == Ending::timedOut || ending == Ending::reset || ending == Ending::cancelled;
     session.due = mayBeHeld ? now_ + data_.clearWait : now_;
     if (session.mayHaveRun && !session.service->repeatable) return refuseLater(session, comeBack());
     const Instant target = session.dialled + session.service->postDialTarget;
@@ -288,8 +288,8 @@
     return true;
   }
 
-  // An ending that leaves nothing but a refusal: given in this round, once all that came in was heard. Guards against an answer
-  // to a caller whose give-up came in with it.
+  // An ending that leaves nothing but a refusal: given in this round, once all that came in was heard. Guards against
+  // an answer to a caller whose give-up came in with it.
   void refuseLater(Session& session, Span retryAfter) { ended_.push_back({&session, retryAfter}); }
 
   // The only place that gives a final answer; it is given at once.
@@ -301,8 +301,7 @@
       refused_.push_back({session.dialledNumber, session.service, session.dialled});
     }
     if (session.mayHaveRun && !session.service->repeatable) return writer_->surrender(session);
-    writer_->busy(session,
-                  data_.takesRetryAfter ? std::min(retryAfter, data_.longestRetryAfter) : Span::none());
+    writer_->busy(session, data_.takesRetryAfter ? std::min(retryAfter, data_.longestRetryAfter) : Span::none());
   }
 
   // A caller that met busy circuits or a pressed processor can still be served in time if it is back before
@@ -366,8 +365,7 @@
 
   // ---- Health ------------------------------------------------------------------------------------------
 
-  void learn(const Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor,
-             Span toldWait) {
+  void learn(const Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor, Span toldWait) {
     switch (ending) {
       case Ending::ok:
       case Ending::fault:
@@ -491,9 +489,7 @@
 
   // ---- Processors --------------------------------------------------------------------------------------
 
-  bool inTime(const Session& session) const {
-    return now_ < session.dialled + session.service->postDialTarget;
-  }
+  bool inTime(const Session& session) const { return now_ < session.dialled + session.service->postDialTarget; }
 
   double worth(const Session& session) const {
     return session.service->value * (inTime(session) ? 1 : session.service->lateValue);
@@ -583,14 +579,14 @@
   // A warm one bears its usual load: what its own subscribers dial, and what all others dial to it. A cold one bears
   // coldFrom of that at least, and fallMultiple times as much for one tip window. So each office may send it as much
   // of the usual load as it has of it; the sum is within what the settings allow, however many offices and however
-  // uneven their traffic. What is dialled beyond the part is thinned out by lot: offices that know nothing of each other
-  // then keep to the sum on average, and the rest is chance. Sessions past their target are the first to go. Never more
-  // than the part and what chance adds to it, for a rush that the average does not show yet: a floor of two an office, as
-  // it was here, is in a fleet of thirty more than any cold processor can take.
-  // Guards against restarts of many at once, mass returns, and fleets too large for a floor an office; hurts where a
-  // processor starts far above coldFrom, or where subscribers suddenly dial elsewhere. tests/cold_fleet.cpp counts the sum;
-  // shapes 1 and 2, windows 2 to 4, 0 to 1 roots for chance: these are the least strict of them that keep the sum in a threefold
-  // rush and in a threefold return.
+  // uneven their traffic. What is dialled beyond the part is thinned out by lot: offices that know nothing of each
+  // other then keep to the sum on average, and the rest is chance. Sessions past their target are the first to go.
+  // Never more than the part and what chance adds to it, for a rush that the average does not show yet: a floor of two
+  // an office, as it was here, is in a fleet of thirty more than any cold processor can take. Guards against restarts
+  // of many at once, mass returns, and fleets too large for a floor an office; hurts where a processor starts far above
+  // coldFrom, or where subscribers suddenly dial elsewhere. tests/cold_fleet.cpp counts the sum; shapes 1 and 2,
+  // windows 2 to 4, 0 to 1 roots for chance: these are the least strict of them that keep the sum in a threefold rush
+  // and in a threefold return.
   bool withinColdPart(const Session& session, const Exchange& to) const {
     if (!cold(to)) return true;
     const double part = data_.coldFrom * data_.fallMultiple * kSpare * usual(to).there;
@@ -608,8 +604,9 @@
 
   static double beyondChance(double count) { return count - 0.2 * std::sqrt(count); }
 
-  // Sessions in a tip window that this office dials there by now, the one in hand not counted. Over the last few windows, as
-  // the mean of what is usual and what is seen; and what the last one alone has beyond chance, there and to all exchanges.
+  // Sessions in a tip window that this office dials there by now, the one in hand not counted. Over the last few
+  // windows, as the mean of what is usual and what is seen; and what the last one alone has beyond chance, there and to
+  // all exchanges.
   double dialledOfLate(const Exchange& to) const {
     static constexpr double kWindows = 3, kShape = 2;
     double there = 0, thereLately = 0, lately = 0;
@@ -644,8 +641,8 @@
     return {each, each * (there + 1) / (first + others)};
   }
 
-  // Before that exchange started, as what comes then may be a rush that its start has made. Where the office had not run for a
-  // tip window by then, all that it knows.
+  // Before that exchange started, as what comes then may be a rush that its start has made. Where the office had not
+  // run for a tip window by then, all that it knows.
   Usual usual(const Exchange& to) const { return to.usual.each < 0 ? usualUntil(now_, to) : to.usual; }
 
   // ---- Alarms and the directory ------------------------------------------------------------------------
@@ -677,7 +674,7 @@
     double worth;
     bool inTime;
     bool first;  // no redial
-    int place;  // dialled; exchanges come and go there
+    int place;   // dialled; exchanges come and go there
   };
   Samples<Dialled, 256> offered_;  // sessions that subscribers of this office dialled
   Samples<Span, 16> delays_;       // post-dial delays, wherever they went
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -23,7 +23,8 @@
 constexpr Word kBudget[] = {
     {"class", "(class SERVICE ...)", "", "what a service has of the budget; several"},
     {"dividing", "equal or lent", "equal", "offices of the zone keep equal parts, or lend each other of theirs"},
-    {"overrun", "stand or end", "stand", "sessions above a budget that was lowered are left to end, or ended cheapest first"},
+    {"overrun", "stand or end", "stand",
+     "sessions above a budget that was lowered are left to end, or ended cheapest first"},
     {"circuit-seconds", "a number", "-1", "that may be used in a period; -1 for no bound"},
     {"period", "milliseconds", "3600000", "of circuit-seconds"},
 };
@@ -351,15 +352,15 @@
   }
   const std::vector<std::string> zones = fleet.zones();
   for (const zones::Budget& b : fleet.budgets) {
-    out << "  (budget \"" << zones[static_cast<std::size_t>(b.from)] << "\" \"" << zones[static_cast<std::size_t>(b.to)] << "\" "
-        << b.circuits;
+    out << "  (budget \"" << zones[static_cast<std::size_t>(b.from)] << "\" \"" << zones[static_cast<std::size_t>(b.to)]
+        << "\" " << b.circuits;
     for (std::size_t i = 0; i < b.classes.size(); ++i) {
       out << " (class " << fleet.offers[i].name << " (guaranteed " << b.classes[i].guaranteed << ") (most "
           << b.classes[i].most.value_or(-1) << "))";
     }
     out << " (dividing " << (b.dividing == zones::Dividing::lent ? "lent" : "equal") << ") (overrun "
-        << (b.overrun == zones::Overrun::end ? "end" : "stand") << ") (circuit-seconds " << b.circuitSeconds.value_or(-1)
-        << ") (period " << b.period.ms() << "))\n";
+        << (b.overrun == zones::Overrun::end ? "end" : "stand") << ") (circuit-seconds "
+        << b.circuitSeconds.value_or(-1) << ") (period " << b.period.ms() << "))\n";
   }
   out << "  (directory \"" << text(fleet.directory) << "\"))\n";
   return out.str();
@@ -411,8 +412,9 @@
 void explainWords(std::ostream& out, std::string_view title, std::span<const Word> words) {
   out << '(' << title << " ...)\n";
   for (const Word& one : words) {
-    const std::string given =
-        one.byDefault.empty() ? "must be given" : one.byDefault == "-" ? "may be left out" : "default " + std::string(one.byDefault);
+    const std::string given = one.byDefault.empty()  ? "must be given"
+                              : one.byDefault == "-" ? "may be left out"
+                                                     : "default " + std::string(one.byDefault);
     out << "  " << std::left << std::setw(20) << one.word << std::setw(32) << one.expects << std::setw(24) << given
         << one.means << '\n';
   }
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -122,7 +122,7 @@
 
 std::string_view Form::head() const {
   return isList() && !items.empty() && items[0].kind == Kind::word ? std::string_view(items[0].value)
-                                                                  : std::string_view();
+                                                                   : std::string_view();
 }
 
 void Form::wrong(const std::string& what) const { wrongAt(*file, {line, column}, what); }
--- a/src/settings/loads.cpp
+++ b/src/settings/loads.cpp
@@ -41,8 +41,9 @@
       if (!what.isList() || what.items.size() != 2) what.wrong("(SERVICE ERLANGS) is expected");
       const int service = fleet.service(asText(what.items[0]));
       if (service < 0) unknownWord(what.items[0], what.items[0].value, names(fleet.offers));
-      double& load = loads.erlangs[(static_cast<std::size_t>(ends[0]) * places + static_cast<std::size_t>(ends[1])) * services +
-                                   static_cast<std::size_t>(service)];
+      double& load =
+          loads.erlangs[(static_cast<std::size_t>(ends[0]) * places + static_cast<std::size_t>(ends[1])) * services +
+                        static_cast<std::size_t>(service)];
       if (load > 0) what.wrong("this load stands twice");
       load = asNumber(what.items[1], 0, 1e6);
     }
--- a/src/standins/callers.cpp
+++ b/src/standins/callers.cpp
@@ -146,7 +146,8 @@
   // Some call far more than others: of 500 users an office has, a tenth make half of the calls.
   const double lot = static_cast<double>((want.dial.at - Instant()).ms() * 1000);
   const double share = std::fmod(lot * 0.6180339887, 1.0);
-  const std::string user = std::to_string(want.dial.office) + "-" + std::to_string(static_cast<int>(500 * std::pow(share, 3.3)));
+  const std::string user =
+      std::to_string(want.dial.office) + "-" + std::to_string(static_cast<int>(500 * std::pow(share, 3.3)));
   e.callingNumber = user;
   e.calledContext = fleet_.offers[want.service()].name;
   e.timeLeft = static_cast<std::uint32_t>(limit.ms());
--- a/src/standins/callers.hpp
+++ b/src/standins/callers.hpp
@@ -26,8 +26,8 @@
 struct CallerHabit {
   int redials = 2;
   Span backoff = Span::ms(800);
-  double honour = 0.7;         // share of callers that wait as long as they are told
-  double tryShare = 0.35;      // a try is given up after this share of the service's timer limit
+  double honour = 0.7;                  // share of callers that wait as long as they are told
+  double tryShare = 0.35;               // a try is given up after this share of the service's timer limit
   Span returnsWithin = Span::ms(1500);  // a caller who was cut dials again within this
 };
 
--- a/src/standins/exchange.cpp
+++ b/src/standins/exchange.cpp
@@ -105,7 +105,7 @@
   sent_.push_back(now_);
   while (now_ - sent_.front() > model_.tipAfter) sent_.pop_front();
   const double canDo = 1000.0 / model_.setUpWork * speed() * model_.tipAfter.ms() / 1000;
-  if (now_ - started_ < model_.warmAfter && static_cast<double>(sent_.size()) > model_.fallMultiple * canDo) {
+  if (now_ - started_<model_.warmAfter&& static_cast<double>(sent_.size())> model_.fallMultiple * canDo) {
     fallen_ = true;
     return;
   }
--- a/src/standins/exchange.hpp
+++ b/src/standins/exchange.hpp
@@ -16,14 +16,14 @@
 
 /// Work is in milliseconds of the warm processor.
 struct ProcessorModel {
-  double setUpWork = 2;        // looking at a session and setting it up
-  double followWork = 0.7;     // the answer, and the release: each
-  double turnAwayWork = 0.4;   // turning a set-up away
+  double setUpWork = 2;       // looking at a session and setting it up
+  double followWork = 0.7;    // the answer, and the release: each
+  double turnAwayWork = 0.4;  // turning a set-up away
   Span longestWait = Span::ms(1500);
-  double coldFrom = 0.3;       // share of its speed when just started
+  double coldFrom = 0.3;  // share of its speed when just started
   Span warmAfter = Span::ms(12000);
-  double fallMultiple = 3;     // falls over when sent more than this multiple of what it can do ...
-  Span tipAfter = Span::ms(1500);  // ... for so long
+  double fallMultiple = 3;           // falls over when sent more than this multiple of what it can do ...
+  Span tipAfter = Span::ms(1500);    // ... for so long
   std::map<std::string, int> lines;  // called numbers with few lines, and how many
 };
 
@@ -39,10 +39,10 @@
   Instant nextTurn() const override;
 
   // Faults. All last until changed again.
-  void hang(Instant now, bool hung);       // takes set-ups and answers none
+  void hang(Instant now, bool hung);              // takes set-ups and answers none
   void silent(bool silent) { silent_ = silent; }  // answers nothing at all
   void slow(double times) { slow_ = times; }
-  void lose(Instant now, double share);    // cuts that share of its standing sessions
+  void lose(Instant now, double share);  // cuts that share of its standing sessions
 
   struct Tally {
     std::uint64_t setUps = 0, stood = 0, ended = 0, turnedAway = 0, linesBusy = 0, dropped = 0, cut = 0;
@@ -84,7 +84,7 @@
   bool busy_ = false;
   Job current_{};
   Instant doneAt_ = Instant::never();
-  std::deque<Instant> sent_;  // set-ups within the tip window
+  std::deque<Instant> sent_;                       // set-ups within the tip window
   std::deque<std::pair<Instant, double>> worked_;  // ms of work done lately
   std::map<std::string, int> inUse_;
   double slow_ = 1;
--- a/src/zones/budget.cpp
+++ b/src/zones/budget.cpp
@@ -7,8 +7,8 @@
 namespace thistlefold::zones {
 namespace {
 
-// A wider or dearer service is reckoned with so long after it was last asked for: some of these make up a mean hold of the
-// shortest services, and what is kept for one that has gone lies idle no longer.
+// A wider or dearer service is reckoned with so long after it was last asked for: some of these make up a mean hold of
+// the shortest services, and what is kept for one that has gone lies idle no longer.
 constexpr Span kOfLate = Span::ms(5000);
 
 // Below this many widths a part is too small to keep one free for the dearer.
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing, int circuits) {
+std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing,
+                                     int circuits) {
   std::vector<std::size_t> order(standing.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
@@ -61,7 +62,8 @@
   hold /= sessions;
   const double width = held() / sessions;
   double span = 0;
-  for (double toEnd = over() / width; toEnd > 0 && sessions >= 1; --toEnd, --sessions) span += std::min(1.0, toEnd) * hold / sessions;
+  for (double toEnd = over() / width; toEnd > 0 && sessions >= 1; --toEnd, --sessions)
+    span += std::min(1.0, toEnd) * hold / sessions;
   return Span::ms(span);
 }
 
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -24,7 +24,7 @@
 
 /// A budget of the whole fleet for one direction between two zones.
 struct Budget {
-  int from = 0, to = 0;             // zones
+  int from = 0, to = 0;  // zones
   int circuits = 0;
   std::vector<ClassShare> classes;  // by service
   Dividing dividing = Dividing::equal;
@@ -49,7 +49,8 @@
   Instant since;
 };
 /// Which of these are to end so that `circuits` come free: of least worth first, of these the newest. Indexes.
-std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing, int circuits);
+std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing,
+                                     int circuits);
 
 /// What one office may hold at the moment.
 struct Bounds {
--- a/src/zones/lease.cpp
+++ b/src/zones/lease.cpp
@@ -61,8 +61,9 @@
     }
   }
   allowance_.set(now,
-                 budget_ && budget_->circuitSeconds ? std::optional(*budget_->circuitSeconds / static_cast<double>(count_))
-                                                    : std::nullopt,
+                 budget_ && budget_->circuitSeconds
+                     ? std::optional(*budget_->circuitSeconds / static_cast<double>(count_))
+                     : std::nullopt,
                  budget_ ? budget_->period : Span::ms(3600000));
   for (Mate& mate : mates_) mate.wanted = true;
   bounds(now);
@@ -86,7 +87,9 @@
 bool Pool::talks() const {
   if (!budget_) return false;
   if (budget_->dividing == Dividing::lent) return true;
-  const auto any = [](const Units& units) { return std::any_of(units.begin(), units.end(), [](int one) { return one > 0; }); };
+  const auto any = [](const Units& units) {
+    return std::any_of(units.begin(), units.end(), [](int one) { return one > 0; });
+  };
   return std::any_of(mates_.begin(), mates_.end(),
                      [&](const Mate& mate) { return any(mate.lent) || any(mate.ghost) || any(mate.loan); });
 }
@@ -157,7 +160,9 @@
   if (loweredAt_ <= now && now - loweredAt_ < spans_.term) return part_.over();
   // On a loan that lapsed: before the lender writes it off. Its wait began before ours at the latest by the way of
   // one word, and its clock may be the faster one.
-  if (overSince_ == Instant::never() || now - overSince_ < spans_.writtenOffAfter * (1 - 2 * spans_.drift) - spans_.word) return 0;
+  if (overSince_ == Instant::never() ||
+      now - overSince_ < spans_.writtenOffAfter * (1 - 2 * spans_.drift) - spans_.word)
+    return 0;
   return std::max(0, part_.held() - std::max(0, capacity(now, 0)));
 }
 
@@ -171,7 +176,8 @@
     std::rotate(lately_.begin(), lately_.end() - 1, lately_.end());
     lately_[0] = {std::vector<int>(size()), std::vector<int>(size())};
   }
-  for (std::size_t unit = 0; unit < size(); ++unit) lately_[0].most[unit] = std::max(lately_[0].most[unit], heldOf(unit));
+  for (std::size_t unit = 0; unit < size(); ++unit)
+    lately_[0].most[unit] = std::max(lately_[0].most[unit], heldOf(unit));
 }
 
 /// What this office had better have. `close`: what it can't do without, for which it wants back what it lent: what
@@ -511,8 +517,11 @@
 Instant Pool::nextDue() const {
   if (settleAt_ != Instant::never()) return settleAt_;
   Instant due = Instant::never();
-  // Once settled it waits for a word, or for the term to end; with a mate that is silent, due at once would be due for ever.
-  if (waiting_) due = ranAt_ < started_ + spans_.settle ? started_ + spans_.settle : started_ + spans_.term * (1 + spans_.drift) + kGrain;
+  // Once settled it waits for a word, or for the term to end; with a mate that is silent, due at once would be due for
+  // ever.
+  if (waiting_)
+    due = ranAt_ < started_ + spans_.settle ? started_ + spans_.settle
+                                            : started_ + spans_.term * (1 + spans_.drift) + kGrain;
   if (!talks()) return due;
   for (const Mate& mate : mates_) due = std::min(due, mate.spokenAt + (mate.wanted ? spans_.soonest : spans_.word));
   return due;
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -43,14 +43,14 @@
 
 /// Spans of lending.
 struct LeaseSpans {
-  Span word = Span::ms(1000);     // a word goes to each peer so often ...
-  Span soonest = Span::ms(50);    // ... and no sooner than this after the last, if there is need
-  Span term = Span::ms(10000);    // a borrower takes nothing new on a loan when its lender has been silent so long
-  Span demand = Span::ms(3000);   // what is needed is the most that was held within this
+  Span word = Span::ms(1000);    // a word goes to each peer so often ...
+  Span soonest = Span::ms(50);   // ... and no sooner than this after the last, if there is need
+  Span term = Span::ms(10000);   // a borrower takes nothing new on a loan when its lender has been silent so long
+  Span demand = Span::ms(3000);  // what is needed is the most that was held within this
   /// After a start nothing is let in for so long: mates ask each other for a sign of life each second, and cut what
   /// stood over an office that was started anew.
   Span settle = Span::ms(1200);
-  double drift = 0.01;            // clocks of two offices run alike to within this share
+  double drift = 0.01;  // clocks of two offices run alike to within this share
   /// After the term a lender waits this long before it writes a silent borrower's loan off. Sessions that stood on
   /// the loan have mostly ended by then: three mean holds of the longest service leave 5% of them.
   Span writtenOffAfter = Span::ms(30000);
@@ -113,11 +113,11 @@
     // It as a borrower
     std::uint64_t serial = 0;
     Units lent;
-    Instant lentUntil;      // nothing new is let in on it after this
+    Instant lentUntil;  // nothing new is let in on it after this
     bool writtenOff = false;
-    Units back;             // of it, wanted back
-    bool unmet = false;     // asked for more than could be lent
-    Units ghost;            // lent to the one that went before it, until its sessions are sure to be over
+    Units back;          // of it, wanted back
+    bool unmet = false;  // asked for more than could be lent
+    Units ghost;         // lent to the one that went before it, until its sessions are sure to be over
     Instant ghostUntil;
     // It as a lender
     std::uint64_t seen = 0;
@@ -126,7 +126,7 @@
     Units spare, recalled, ask;
     bool pressed = false;
     Instant spokenAt = Instant::longAgo();
-    bool wanted = false;    // a word to it is wanted soon
+    bool wanted = false;  // a word to it is wanted soon
   };
 
   std::size_t size() const { return 1 + 2 * kinds_.size(); }
@@ -175,7 +175,7 @@
   mutable Sums sums_;
   mutable bool stale_ = true;
   mutable Instant lapses_ = Instant::never();
-  bool pressed_ = false;  // some mate's asking is unmet
+  bool pressed_ = false;                 // some mate's asking is unmet
   Instant settleAt_ = Instant::never();  // words came in that speak() has not acted on
   Instant loweredAt_ = Instant::never();
   Instant ranAt_ = Instant::longAgo();
--- a/src/zones/top_users.hpp
+++ b/src/zones/top_users.hpp
@@ -37,8 +37,8 @@
     }
     // The one that used least makes room. Looked for one by one: with a hundred or so that is quicker than keeping an
     // order that nearly every addition changes (measured in bench/).
-    const auto least = std::min_element(users_.begin(), users_.end(),
-                                        [](const User& a, const User& b) { return a.sum < b.sum; });
+    const auto least =
+        std::min_element(users_.begin(), users_.end(), [](const User& a, const User& b) { return a.sum < b.sum; });
     at_.erase(least->name);
     at_.emplace(name, static_cast<std::size_t>(least - users_.begin()));
     least->name = name;
--- a/src/zones/word.cpp
+++ b/src/zones/word.cpp
@@ -32,8 +32,8 @@
 std::string encode(const Word& word) {
   std::ostringstream out;
   out << kWordBegins << "from " << word.from << " zone " << word.zone << " mark " << word.mark << " sent " << word.sent
-      << " heard " << word.heard << " serial " << word.serial << " seen " << word.seen
-      << " pressed " << word.pressed << '\n';
+      << " heard " << word.heard << " serial " << word.serial << " seen " << word.seen << " pressed " << word.pressed
+      << '\n';
   line(out, "granted", word.granted);
   line(out, "spare", word.spare);
   line(out, "recalled", word.recalled);
@@ -53,8 +53,8 @@
   std::istringstream line(head);
   line >> from >> word.from >> zone >> word.zone >> mark >> word.mark >> sent >> word.sent >> heard >> word.heard >>
       serial >> word.serial >> seen >> word.seen >> pressed >> word.pressed;
-  if (!line || line >> rest || from != "from" || zone != "zone" || mark != "mark" || sent != "sent" || heard != "heard" ||
-      serial != "serial" || seen != "seen" || pressed != "pressed") {
+  if (!line || line >> rest || from != "from" || zone != "zone" || mark != "mark" || sent != "sent" ||
+      heard != "heard" || serial != "serial" || seen != "seen" || pressed != "pressed") {
     return std::nullopt;
   }
   if (!read(in, "granted", word.granted) || !read(in, "spare", word.spare) || !read(in, "recalled", word.recalled) ||
@@ -62,7 +62,8 @@
     return std::nullopt;
   }
   // The last line shows that nothing was cut off.
-  return std::getline(in, rest) && rest == "end" && !in.eof() && !std::getline(in, rest) ? std::optional(word) : std::nullopt;
+  return std::getline(in, rest) && rest == "end" && !in.eof() && !std::getline(in, rest) ? std::optional(word)
+                                                                                         : std::nullopt;
 }
 
 }  // namespace thistlefold::zones
--- a/tests/cold_fleet.cpp
+++ b/tests/cold_fleet.cpp
@@ -1,5 +1,5 @@
-// One exchange that has just started, and a whole fleet of offices that know nothing of each other: what all of them send
-// it together, as it would count it.
+// One exchange that has just started, and a whole fleet of offices that know nothing of each other: what all of them
+// send it together, as it would count it.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -19,11 +19,11 @@
 struct Town {
   int offices;
   std::uint32_t seed;
-  double rate = 5;              // sessions a second that an office dials in the mean
-  bool uneven = true;           // some dial several times as much as others
-  bool allStart = false;        // all offices start with the exchange
-  double rush = 1;              // times the usual, once the exchange is back
-  double rushThere = 1;         // the same of what is dialled there alone
+  double rate = 5;        // sessions a second that an office dials in the mean
+  bool uneven = true;     // some dial several times as much as others
+  bool allStart = false;  // all offices start with the exchange
+  double rush = 1;        // times the usual, once the exchange is back
+  double rushThere = 1;   // the same of what is dialled there alone
 };
 
 struct Seen {
@@ -66,7 +66,8 @@
 
 class Office final : public Arrivals, public Writer {
  public:
-  Office(Fleet& of, int here) : of_(&of), here_(here), controller_(openOffice(of.data, of.town.seed * 1000 + static_cast<unsigned>(here))) {
+  Office(Fleet& of, int here)
+      : of_(&of), here_(here), controller_(openOffice(of.data, of.town.seed * 1000 + static_cast<unsigned>(here))) {
     exchanges_.resize(static_cast<std::size_t>(of.town.offices));
     for (int i = 0; i < of.town.offices; ++i) {
       Exchange& one = exchanges_[static_cast<std::size_t>(i)];
@@ -124,7 +125,8 @@
     if (one.redials == 0) return;
     // What stands in the end counts for the first try.
     of_->later.emplace(of_->now + std::max(retryAfter, Span::ms(300)),
-                       [this, to = session.destination->place, left = one.redials - 1, number = session.dialledNumber, counted = one.counted] {
+                       [this, to = session.destination->place, left = one.redials - 1, number = session.dialledNumber,
+                        counted = one.counted] {
                          dial(to, left, number, false);
                          sessions_.back()->counted = counted;
                        });
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -97,7 +97,8 @@
 }
 
 TEST_CASE("a capture reads back what was written, and a torn one is named") {
-  const auto path = (std::filesystem::temp_directory_path() / ("thistlefold-cap-" + std::to_string(::getpid()))).string();
+  const auto path =
+      (std::filesystem::temp_directory_path() / ("thistlefold-cap-" + std::to_string(::getpid()))).string();
   const std::vector<std::uint8_t> payload{1, 2, 3, 4, 5};
   {
     capture::Writer writer(path);
@@ -119,7 +120,8 @@
   });
   CHECK(packets == 2);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) - 3);
-  CHECK_THROWS_WITH_AS(capture::read(path, [](const capture::Packet&) {}), doctest::Contains("cut short"), std::runtime_error);
+  CHECK_THROWS_WITH_AS(capture::read(path, [](const capture::Packet&) {}), doctest::Contains("cut short"),
+                       std::runtime_error);
   std::filesystem::resize_file(path, 0);
   CHECK_THROWS_AS(capture::read(path, [](const capture::Packet&) {}), std::runtime_error);
   std::filesystem::remove(path);
--- a/tests/program/clock.cpp
+++ b/tests/program/clock.cpp
@@ -12,10 +12,13 @@
 
 using namespace thistlefold;
 
-TEST_CASE("a process counts on from the day's time, so that starts are ordered over a restart of the host, and alarms ring by it") {
+TEST_CASE(
+    "a process counts on from the day's time, so that starts are ordered over a restart of the host, and alarms ring "
+    "by it") {
   boost::asio::io_context context;
   const auto clock = net::realClock(context.get_executor());
-  const double day = std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
+  const double day =
+      std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
   CHECK(std::abs((clock->now() - Instant()).ms() - day) < 1000);
   const auto alarm = clock->alarm();
   const Instant set = clock->now();
--- a/tests/program/days.cpp
+++ b/tests/program/days.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 std::string capturePath() {
-  return (std::filesystem::temp_directory_path() / ("thistlefold-day-" + std::to_string(::getpid()) + ".pcapng")).string();
+  return (std::filesystem::temp_directory_path() / ("thistlefold-day-" + std::to_string(::getpid()) + ".pcapng"))
+      .string();
 }
 
 day::Report play(const day::DayPlan& plan) {
@@ -90,8 +91,10 @@
   // 85 erlangs at half load and half scale, 1.5 circuits for a second each.
   CHECK(day.plan.rate == doctest::Approx(0.25 * 85 / 1.5));
   CHECK(day.plan.troubles.size() == 1 + 2);  // two stalls of 0.7 s, half a second apart
-  CHECK(std::any_of(day.left.begin(), day.left.end(), [](const std::string& one) { return one.starts_with("trouble retry_abuse"); }));
-  CHECK(std::any_of(day.left.begin(), day.left.end(), [](const std::string& one) { return one.starts_with("callers' backoff"); }));
+  CHECK(std::any_of(day.left.begin(), day.left.end(),
+                    [](const std::string& one) { return one.starts_with("trouble retry_abuse"); }));
+  CHECK(std::any_of(day.left.begin(), day.left.end(),
+                    [](const std::string& one) { return one.starts_with("callers' backoff"); }));
   const day::Report report = play(day.plan);
   CAPTURE(day::describe(report));
   CHECK(report.good());
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -1,5 +1,6 @@
-// The rules' checker over histories: seeded ones that drive the whole program on the virtual stage while any datagram may be
-// late, doubled, out of order or about something closed, and one a rule, kept as a file, that the audit must reject.
+// The rules' checker over histories: seeded ones that drive the whole program on the virtual stage while any datagram
+// may be late, doubled, out of order or about something closed, and one a rule, kept as a file, that the audit must
+// reject.
 
 #include <algorithm>
 #include <fstream>
@@ -182,8 +183,11 @@
   std::vector<Line> packets;
   const auto identity = [](const std::string& name) {
     const int number = name.size() == 2 ? name[1] - '1' : 0;
-    return name == "caller" ? day::kCallers : name == "directory" ? day::kDirectory : name == "script" ? capture::kScript
-           : name[0] == 'x' ? day::processorIdentity(number) : day::officeIdentity(number);
+    return name == "caller"      ? day::kCallers
+           : name == "directory" ? day::kDirectory
+           : name == "script"    ? capture::kScript
+           : name[0] == 'x'      ? day::processorIdentity(number)
+                                 : day::officeIdentity(number);
   };
   std::string text;
   while (std::getline(in, text)) {
@@ -208,9 +212,11 @@
       frame.destination = static_cast<std::uint16_t>(destination);
       frame.oseq = static_cast<std::uint8_t>(oseq);
       frame.iseq = static_cast<std::uint8_t>(iseq);
-      static const std::map<std::string, iax2::Iax> kIax{{"NEW", iax2::Iax::NEW}, {"REJECT", iax2::Iax::REJECT}, {"HANGUP", iax2::Iax::HANGUP}};
+      static const std::map<std::string, iax2::Iax> kIax{
+          {"NEW", iax2::Iax::NEW}, {"REJECT", iax2::Iax::REJECT}, {"HANGUP", iax2::Iax::HANGUP}};
       if (what == "ANSWER") frame.type = iax2::Type::control;
-      frame.subclass = what == "ANSWER" ? static_cast<std::uint8_t>(iax2::Control::answer) : static_cast<std::uint8_t>(kIax.at(what));
+      frame.subclass = what == "ANSWER" ? static_cast<std::uint8_t>(iax2::Control::answer)
+                                        : static_cast<std::uint8_t>(kIax.at(what));
       for (std::string word; words >> word;) {
         const std::string key = word.substr(0, word.find('=')), value = word.substr(word.find('=') + 1);
         iax2::Elements& e = frame.elements;
@@ -265,7 +271,8 @@
 }
 
 TEST_CASE("a history that breaks one rule is rejected for that rule and no other") {
-  const std::string path = (std::filesystem::temp_directory_path() / ("thistlefold-history-" + std::to_string(::getpid()))).string();
+  const std::string path =
+      (std::filesystem::temp_directory_path() / ("thistlefold-history-" + std::to_string(::getpid()))).string();
   const Fleet fleet = day::identified(smallFleet(2, 200));
   for (int rule = 1; rule <= 5; ++rule) {
     writeCapture("tests/histories/rule-" + std::to_string(rule) + ".frames", path);
--- a/tests/program/lease.cpp
+++ b/tests/program/lease.cpp
@@ -52,9 +52,7 @@
       }
     }
   }
-  int sum() {
-    return pools[0]->part().circuits() + pools[1]->part().circuits();
-  }
+  int sum() { return pools[0]->part().circuits() + pools[1]->part().circuits(); }
 
   Instant now = Instant::ms(5000);
   std::unique_ptr<Pool> pools[2];
@@ -115,8 +113,10 @@
   const int lent = pair.pools[1]->lent();
   CHECK(lent >= 6);
   for (int i = 0; i < 8; ++i) {
-    if (pair.pools[1]->admits(pair.now, 0)) pair.pools[1]->take(pair.now, 0);
-    else pair.pools[1]->refused(pair.now, 0);
+    if (pair.pools[1]->admits(pair.now, 0))
+      pair.pools[1]->take(pair.now, 0);
+    else
+      pair.pools[1]->refused(pair.now, 0);
   }
   pair.talk(300);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
@@ -227,7 +227,8 @@
   CHECK(pair.sum() == 20);
 }
 
-TEST_CASE("a budget lowered while lent: the sum of what may be let in obeys at once, what is over is to be ended if said") {
+TEST_CASE(
+    "a budget lowered while lent: the sum of what may be let in obeys at once, what is over is to be ended if said") {
   Pair pair;
   pair.fill(0, 16);
   Budget lower = lentBudget(6);
@@ -256,7 +257,8 @@
   CHECK(pair.sum() == 6);
 }
 
-TEST_CASE("sixteen zones with words lost, doubled and late, offices killed, frozen and cut off: never a circuit too many") {
+TEST_CASE(
+    "sixteen zones with words lost, doubled and late, offices killed, frozen and cut off: never a circuit too many") {
   std::uint64_t borrowedAtAll = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     model::ZoneDay day = randomDay(seed);
--- a/tests/program/mesh.cpp
+++ b/tests/program/mesh.cpp
@@ -33,11 +33,13 @@
   return mesh;
 }
 
-/// Sessions as the program routes them: direct while there is room, else over the tandem whose fuller leg is the emptiest,
-/// on legs that stay under the cap; each tandem tried is an INVITE. Share lost by service.
+/// Sessions as the program routes them: direct while there is room, else over the tandem whose fuller leg is the
+/// emptiest, on legs that stay under the cap; each tandem tried is an INVITE. Share lost by service.
 std::vector<double> played(const Mesh& mesh, double length, std::uint64_t seed) {
   std::mt19937_64 chance(seed);
-  const auto exponential = [&](double mean) { return -mean * std::log(1 - std::generate_canonical<double, 53>(chance)); };
+  const auto exponential = [&](double mean) {
+    return -mean * std::log(1 - std::generate_canonical<double, 53>(chance));
+  };
   std::vector<int> held(mesh.groups.size());
   const auto group = [&](int a, int b) {
     for (std::size_t g = 0; g < mesh.groups.size(); ++g) {
@@ -80,7 +82,10 @@
       if (over == from || over == to) continue;
       const int own = group(from, over), far = group(over, to);
       if (!room(own, kTandemCap) || !room(far, kTandemCap)) continue;
-      const auto use = [&](int g) { return held[static_cast<std::size_t>(g)] / static_cast<double>(mesh.groups[static_cast<std::size_t>(g)].circuits); };
+      const auto use = [&](int g) {
+        return held[static_cast<std::size_t>(g)] /
+               static_cast<double>(mesh.groups[static_cast<std::size_t>(g)].circuits);
+      };
       const double fuller = std::max(use(own), use(far));
       if (fuller < best) {
         best = fuller;
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -224,7 +224,8 @@
   town.run(500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
   bool parted = true;
-  town.between([&](int, int, const iax2::Frame&) { return parted ? std::vector<Span>() : std::vector<Span>{Span::ms(5)}; });
+  town.between(
+      [&](int, int, const iax2::Frame&) { return parted ? std::vector<Span>() : std::vector<Span>{Span::ms(5)}; });
   town.run(9000);
   CHECK(callers.phone.count("HANGUP") == 1);
   CHECK(town.account(0, "cut") == 1);
@@ -301,9 +302,8 @@
   std::vector<std::vector<std::uint8_t>> toPhone;
   // Three callers in one round: no directory, so all are refused in the end, the third because of the bound.
   for (int i = 0; i < 3; ++i) phone.dial(Instant::ms(1000), at, "21000" + std::to_string(i));
-  phone.turn(Instant::ms(1000), [&](iax2::Address, std::span<const std::uint8_t> bytes) {
-    office.take(Instant::ms(1000), from, bytes);
-  });
+  phone.turn(Instant::ms(1000),
+             [&](iax2::Address, std::span<const std::uint8_t> bytes) { office.take(Instant::ms(1000), from, bytes); });
   office.turn(Instant::ms(1000), [&](iax2::Address to, std::span<const std::uint8_t> bytes) {
     if (to == from) toPhone.emplace_back(bytes.begin(), bytes.end());
   });
@@ -314,7 +314,8 @@
 }
 
 TEST_CASE("lists are taken whole or not at all, and never an older one") {
-  ExchangeList list{5, 2, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, Readiness::draining, 2, Span::ms(20)}}, {{0, 1, 4}}};
+  ExchangeList list{
+      5, 2, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, Readiness::draining, 2, Span::ms(20)}}, {{0, 1, 4}}};
   const std::string text = encode(list);
   const auto bytes = [](const std::string& from) {
     return std::span(reinterpret_cast<const std::uint8_t*>(from.data()), from.size());
@@ -385,7 +386,8 @@
     const bool read = iax2::decode(bytes, frame) == iax2::Reading::full;
     // The first office's own list lags, as lists do, so that it goes on sending.
     if (blind && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
-    if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) && frame.is(iax2::Iax::REJECT)) {
+    if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
+        frame.is(iax2::Iax::REJECT)) {
       ++refused;
       told += frame.elements.canTake.has_value();
     }
@@ -407,8 +409,10 @@
   fleet.directory = {9, 9};
   Office office(fleet, OfficeSetting(), Instant::ms(1000));
   const auto take = [&](double at, std::uint64_t directory, std::uint64_t version, Readiness readiness) {
-    const std::string text = encode(ExchangeList{directory, version, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, readiness, 2, Span::ms(20)}}, {}});
-    office.take(Instant::ms(at), fleet.directory, std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
+    const std::string text = encode(ExchangeList{
+        directory, version, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, readiness, 2, Span::ms(20)}}, {}});
+    office.take(Instant::ms(at), fleet.directory,
+                std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
   };
   take(1000, 50, 7, Readiness::ready);
   take(2000, 40, 1, Readiness::draining);  // may be late: the other was heard a second ago
@@ -498,7 +502,11 @@
   REQUIRE(callers.phone.count("ANSWER") == 1);
   parted = true;
   const auto silent = [&] {
-    return boost::json::parse(town.stage().ask(0, "thistlefold status 1\n").value()).at("exchanges").at(1).at("silent").as_bool();
+    return boost::json::parse(town.stage().ask(0, "thistlefold status 1\n").value())
+        .at("exchanges")
+        .at(1)
+        .at("silent")
+        .as_bool();
   };
   // Six seconds after the last POKE that was answered, and at most one POKE more.
   town.run(7200);
--- a/tests/program/platform.cpp
+++ b/tests/program/platform.cpp
@@ -1,5 +1,5 @@
-// The platform's protocol: its codecs, and a softswitch between messages and the real module, on streams and a clock that
-// the test holds in its hands.
+// The platform's protocol: its codecs, and a softswitch between messages and the real module, on streams and a clock
+// that the test holds in its hands.
 
 #include <doctest/doctest.h>
 
@@ -160,17 +160,19 @@
 }  // namespace
 
 TEST_CASE("platform: what is no message is told from what is one") {
-  const auto read = readMessage(R"({"type":"release","id":"9b1f03aa5c7e2d41","fields":{"wait":250},"cause":34,"x":[{}]})");
+  const auto read =
+      readMessage(R"({"type":"release","id":"9b1f03aa5c7e2d41","fields":{"wait":250},"cause":34,"x":[{}]})");
   REQUIRE(read);
   CHECK(read->kind == Kind::release);
   CHECK(read->cause == 34);
   CHECK(read->field("wait") == "250");
   CHECK(readMessage(R"({"type":"hello"})")->kind == Kind::other);
   const std::string deep(8000, '[');
-  for (const std::string& bad : {std::string(), std::string("[]"), std::string("{}"), std::string(R"({"type":7)"), deep,
-                                 std::string(R"({"type":"setup","id":"9b1f"})"), std::string(R"({"type":"setup","fields":[]})"),
-                                 std::string(R"({"type":"setup","fields":{"left":{}}})"), std::string(R"({"type":"release","cause":-1})"),
-                                 std::string("{\"type\":\"setup\",\"sdp\":\"\xff\xfe\"}")}) {
+  for (const std::string& bad :
+       {std::string(), std::string("[]"), std::string("{}"), std::string(R"({"type":7)"), deep,
+        std::string(R"({"type":"setup","id":"9b1f"})"), std::string(R"({"type":"setup","fields":[]})"),
+        std::string(R"({"type":"setup","fields":{"left":{}}})"), std::string(R"({"type":"release","cause":-1})"),
+        std::string("{\"type\":\"setup\",\"sdp\":\"\xff\xfe\"}")}) {
     CHECK_MESSAGE(!readMessage(bad), bad);
   }
   const auto again = readMessage(writeMessage(Kind::setup, kA, {{"key", "1\"\n"}}, 0, "v=0\r\nm=\"x\"\r\n"));
@@ -198,7 +200,8 @@
   CHECK(events[0].places[0].listing.readiness == Readiness::draining);
   CHECK(events[0].places[0].address == kFirst);
   CHECK(events[1].places.empty());
-  for (const std::string& bad : {frame(8, 3, ""), frame(8, 1, "short"), std::string(16, '\xff'), frame(8, 2, record(1, kFirst, 3, 0))}) {
+  for (const std::string& bad :
+       {frame(8, 3, ""), frame(8, 1, "short"), std::string(16, '\xff'), frame(8, 2, record(1, kFirst, 3, 0))}) {
     Frames others;
     others.add(bad);
     CHECK(!others.next());
@@ -322,14 +325,17 @@
   bench.pass(3000);
   CHECK(caller.sent(Kind::release).empty());
   for (int i = 0; i < 40; ++i) {
-    for (Wire* wire : bench.dialled(kFirst)) bench.office.down(bench.now, *wire, StreamEnd::refused), wire->closed = true;
+    for (Wire* wire : bench.dialled(kFirst))
+      bench.office.down(bench.now, *wire, StreamEnd::refused), wire->closed = true;
     bench.pass(50);
   }
   REQUIRE(caller.sent(Kind::release).size() == 1);
   CHECK(caller.sent(Kind::release).front().cause == 41);
 }
 
-TEST_CASE("platform: a machine that vanished takes no connection, and its callers are told in time; a slow one keeps its calls") {
+TEST_CASE(
+    "platform: a machine that vanished takes no connection, and its callers are told in time; a slow one keeps its "
+    "calls") {
   for (const bool takes : {false, true}) {
     Bench bench;
     Wire& caller = bench.caller();
@@ -403,12 +409,18 @@
   const std::string fields = R"("fields":{"class":"voice","left":"100","key":"1","extras":"dest:1"},"sdp":"x"})";
   for (const std::string& bad : std::vector<std::string>{
            "GET / HTTP/1.1", R"({"type":"setup",)" + fields, R"({"type":"answer","id":")" + kA + R"("})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"none","left":"100","key":"1","extras":"dest:1"},"sdp":"x"})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"voice","left":"-1","key":"1","extras":"dest:1"},"sdp":"x"})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"voice","left":"1e300","key":"1","extras":"dest:1"},"sdp":"x"})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"voice","left":"100","key":"zz","extras":"dest:1"},"sdp":"x"})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"voice","left":"100","key":"1","extras":"dest:nan"},"sdp":"x"})",
-           R"({"type":"setup","id":")" + kA + R"(","fields":{"class":"voice","left":"100","key":"1","extras":"dest:1;at:s-ffffffff"}})"}) {
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"none","left":"100","key":"1","extras":"dest:1"},"sdp":"x"})",
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"voice","left":"-1","key":"1","extras":"dest:1"},"sdp":"x"})",
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"voice","left":"1e300","key":"1","extras":"dest:1"},"sdp":"x"})",
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"voice","left":"100","key":"zz","extras":"dest:1"},"sdp":"x"})",
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"voice","left":"100","key":"1","extras":"dest:nan"},"sdp":"x"})",
+           R"({"type":"setup","id":")" + kA +
+               R"(","fields":{"class":"voice","left":"100","key":"1","extras":"dest:1;at:s-ffffffff"}})"}) {
     Wire& caller = bench.caller();
     bench.tell(caller, bad);
     CHECK_MESSAGE(caller.sent(Kind::release).size() == 1, bad);
@@ -437,11 +449,12 @@
   bench.setUp(usual, kA);
   for (int i = 0; i < 200; ++i) bench.caller();
   CHECK(!usual.closed);
-  CHECK(std::count_if(bench.wires.begin(), bench.wires.end(), [](const auto& wire) { return wire->to.port == 0 && !wire->closed; }) <= 32);
+  CHECK(std::count_if(bench.wires.begin(), bench.wires.end(),
+                      [](const auto& wire) { return wire->to.port == 0 && !wire->closed; }) <= 32);
   for (int i = 0; i < 100; ++i) {
     bench.setUp(usual, std::string(12, '0') + std::to_string(1000 + i), "dest:" + std::to_string(1 + i % 2));
   }
-  CHECK(bench.dialled().size() <= 24);  // 35% of the descriptors, and the bulletin
+  CHECK(bench.dialled().size() <= 24);            // 35% of the descriptors, and the bulletin
   CHECK(usual.sent(Kind::release).size() >= 50);  // OpenCap, and what the module does not take
   // Strangers that pass a test and stay fill the bound; who comes then is not the first to go again.
   Bench full(64);
@@ -456,7 +469,8 @@
   Bench small(256, 64 * 1024);
   Wire& caller = small.caller();
   for (const std::string& id : {kA, kB}) {
-    small.tell(caller, R"({"type":"setup","id":")" + id + R"(","fields":{"class":"voice","left":"3000","key":"1","extras":"dest:1"},"sdp":")" +
+    small.tell(caller, R"({"type":"setup","id":")" + id +
+                           R"(","fields":{"class":"voice","left":"3000","key":"1","extras":"dest:1"},"sdp":")" +
                            std::string(15000, 'x') + R"("})");
   }
   REQUIRE(caller.sent(Kind::release).size() == 1);  // what would fill the memory is turned away
@@ -545,7 +559,9 @@
   CHECK(bench.office.stopped(bench.now));
 }
 
-TEST_CASE("platform: an INVITE that waits for its connection is not written once its exchange drains or its caller has left") {
+TEST_CASE(
+    "platform: an INVITE that waits for its connection is not written once its exchange drains or its caller has "
+    "left") {
   for (const bool drains : {false, true}) {
     CAPTURE(drains);
     Bench bench;
@@ -604,9 +620,12 @@
 
 TEST_CASE("platform: a configuration that can't be read names what was wanted") {
   CHECK_THROWS_WITH(readDeployment("{"), "Missing a name for object member. at offset 1");
-  CHECK_THROWS_WITH(readDeployment(R"({"listen":"here"})"), "field listen: an address and a port are wanted, as in 127.0.0.1:5070");
-  CHECK_THROWS_WITH(readDeployment(R"({"listen":"127.0.0.1:1","bulletin":"127.0.0.1:2","known":{"items":[{"no":1,"roster":{"targets":[{"uid":"7"}]}}]}})"),
-                    "field uid: s- and 8 hex digits are wanted");
+  CHECK_THROWS_WITH(readDeployment(R"({"listen":"here"})"),
+                    "field listen: an address and a port are wanted, as in 127.0.0.1:5070");
+  CHECK_THROWS_WITH(
+      readDeployment(
+          R"({"listen":"127.0.0.1:1","bulletin":"127.0.0.1:2","known":{"items":[{"no":1,"roster":{"targets":[{"uid":"7"}]}}]}})"),
+      "field uid: s- and 8 hex digits are wanted");
   std::string numbered = deploymentText(64);
   numbered.replace(numbered.find("\"items\":[{\"no\":7"), 16, "\"items\":[{\"no\":-7");
   CHECK_THROWS_WITH(readDeployment(numbered), "field no: a number from 1 is wanted");
--- a/tests/program/settings.cpp
+++ b/tests/program/settings.cpp
@@ -68,7 +68,8 @@
   CHECK(faultOf("(fleet \"a") == "f:1:8: a text whose closing '\"' is missing");
   CHECK(faultOf("; nothing\n") == "f: nothing in it");
   CHECK(faultOf("(flet)") == "f:1:1: (fleet ...) is expected");
-  CHECK(faultOf(with("(service call)", "(service call (width 1) (width 2))")).find("stands twice") != std::string::npos);
+  CHECK(faultOf(with("(service call)", "(service call (width 1) (width 2))")).find("stands twice") !=
+        std::string::npos);
   CHECK(faultOf(with("(service call)", "(service call (width 1.5))")) == "f:1:29: a whole number is expected");
 }
 
@@ -82,27 +83,33 @@
   CHECK(fleet.budgets[0].classes[0].most == 8);
   const Document again = Document::parse("g", writeFleet(fleet));
   CHECK(writeFleet(readFleet(again.forms().front())) == writeFleet(fleet));
-  CHECK(faultOf(budget("(budget home awya 12)")).find("unknown word 'awya'; the nearest known is 'away'") != std::string::npos);
+  CHECK(faultOf(budget("(budget home awya 12)")).find("unknown word 'awya'; the nearest known is 'away'") !=
+        std::string::npos);
   CHECK(faultOf(budget("(budget home home 12)")).find("two different zones") != std::string::npos);
-  CHECK(faultOf(budget("(budget home away 3 (class call (guaranteed 4)))")).find("more than the budget") != std::string::npos);
-  CHECK(faultOf(budget("(budget home away 9 (class call (guaranteed 4) (most 2)))")).find("more than most") != std::string::npos);
+  CHECK(faultOf(budget("(budget home away 3 (class call (guaranteed 4)))")).find("more than the budget") !=
+        std::string::npos);
+  CHECK(faultOf(budget("(budget home away 9 (class call (guaranteed 4) (most 2)))")).find("more than most") !=
+        std::string::npos);
 }
 
 TEST_CASE("a day's troubles are checked like all else") {
   const std::string fleet = "(fleet (service call) (mesh 3))";
   CHECK(faultOf("(day d " + fleet + " (at 5 (hang e1 100)))") == "");
-  CHECK(faultOf("(day d " + fleet + " (at 5 (hnag e1 100)))").find("unknown word 'hnag'; the nearest known is 'hang'") !=
-        std::string::npos);
+  CHECK(
+      faultOf("(day d " + fleet + " (at 5 (hnag e1 100)))").find("unknown word 'hnag'; the nearest known is 'hang'") !=
+      std::string::npos);
   CHECK(faultOf("(day d " + fleet + " (at 5 (hang e9 100)))").find("unknown word 'e9'") != std::string::npos);
   CHECK(faultOf("(day d " + fleet + " (at 5 (hang e1)))").find("(hang WHERE LASTS) is expected") != std::string::npos);
-  CHECK(faultOf("(day d " + fleet + " (at 5 (cut all 2)))").find("a number from 0 to 1 is expected") != std::string::npos);
+  CHECK(faultOf("(day d " + fleet + " (at 5 (cut all 2)))").find("a number from 0 to 1 is expected") !=
+        std::string::npos);
   CHECK(faultOf("(day d " + fleet + " (callers (share cal 2)))").find("nearest known is 'call'") != std::string::npos);
 }
 
 TEST_CASE("chance in a script comes from its seed alone") {
   const auto plan = [](int seed) {
     const Document document = Document::parse(
-        "d", "(day d (seed " + std::to_string(seed) + ") (length 5000) (fleet (service call) (mesh 9)) (at (between 0 4000) (hang (any 3) 100)))");
+        "d", "(day d (seed " + std::to_string(seed) +
+                 ") (length 5000) (fleet (service call) (mesh 9)) (at (between 0 4000) (hang (any 3) 100)))");
     return day::readDay(document.forms().front(), ".");
   };
   CHECK(plan(1).troubles[0].places == plan(1).troubles[0].places);
--- a/tests/program/streams.cpp
+++ b/tests/program/streams.cpp
@@ -1,5 +1,8 @@
-// The softswitch on the real TCP seam over loopback. The test is the only thread: what a caller has sent, closed or reset lies in
-// the system's buffers before the softswitch runs at all, so that each crossing is forced by order and not by time.
+// The softswitch on the real TCP seam over loopback. The test is the only thread: what a caller has sent, closed or
+// reset lies in the system's buffers before the softswitch runs at all, so that each crossing is forced by order and
+// not by time.
+
+#include "net/streams.hpp"
 
 #include <doctest/doctest.h>
 #include <netinet/in.h>
@@ -12,7 +15,6 @@
 #include <memory>
 
 #include "net/real.hpp"
-#include "net/streams.hpp"
 #include "platform/softswitch.hpp"
 
 using namespace thistlefold;
@@ -37,7 +39,9 @@
     REQUIRE(::connect(made.fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
     return made;
   }
-  void send(const std::string& bytes) { REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())); }
+  void send(const std::string& bytes) {
+    REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
+  }
   void halfClose() { ::shutdown(fd_, SHUT_WR); }
   void reset() {
     const linger now{1, 0};
@@ -51,7 +55,8 @@
   std::string take() {
     std::string all;
     char buffer[4096];
-    for (ssize_t got; (got = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT)) > 0;) all.append(buffer, static_cast<std::size_t>(got));
+    for (ssize_t got; (got = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT)) > 0;)
+      all.append(buffer, static_cast<std::size_t>(got));
     return all;
   }
   bool ended() {
@@ -97,13 +102,16 @@
   }
   ~Town() { CHECK(fault.empty()); }
   std::string text(int descriptors, const std::string& limit) const {
-    return R"({"name":"n1","listen":"127.0.0.1:0","seed":"8c1f","limits":{"memory_mb":32,"sockets":)" + std::to_string(descriptors) +
-           R"(},"bulletin":"127.0.0.1:)" + std::to_string(bulletin.port) + R"(","known":{"no":1,"items":[{"no":1,"roster":{"all":true,"targets":[
+    return R"({"name":"n1","listen":"127.0.0.1:0","seed":"8c1f","limits":{"memory_mb":32,"sockets":)" +
+           std::to_string(descriptors) + R"(},"bulletin":"127.0.0.1:)" + std::to_string(bulletin.port) +
+           R"(","known":{"no":1,"items":[{"no":1,"roster":{"all":true,"targets":[
              {"uid":"s-00000001","endpoint":"127.0.0.1:9","pod_group":0,"state":"ready","boot_ms":0},
-             {"uid":"s-00000002","endpoint":"127.0.0.1:)" + std::to_string(exchange.port) + R"(","pod_group":1,"state":"ready","boot_ms":0}]}}]},
+             {"uid":"s-00000002","endpoint":"127.0.0.1:)" +
+           std::to_string(exchange.port) + R"(","pod_group":1,"state":"ready","boot_ms":0}]}}]},
            "settings":{"Caps":{"ConnectTimeout":500,"MaxAttempts":6,"MaxRetryAfter":2000,"RetryAfter":true},
              "FamilyInfo":{"ChannelsNeeded":[1],"ClearWait":300,"MeanHold":[10000],"ThisNode":0,"Topology":"mesh"},
-             "Grades":[{"Name":"voice","Aim":200,"GiveUp":)" + limit + R"(}],"Obligations":{"WarmAfter":0}}})";
+             "Grades":[{"Name":"voice","Aim":200,"GiveUp":)" +
+           limit + R"(}],"Obligations":{"WarmAfter":0}}})";
   }
   bool standing(const char* what) const { return office.account().find(what) != std::string::npos; }
   /// Runs the softswitch until that holds, for five seconds at most.
@@ -127,10 +135,13 @@
   bool heardOf(const std::string& id) const { return heard.find("\"setup\",\"id\":\"" + id) != std::string::npos; }
 
   static std::string setUp(const std::string& id, std::size_t size = 10) {
-    return R"({"type":"setup","id":")" + id + R"(","fields":{"class":"voice","left":"3000","key":"7f","extras":"dest:1;width:1"},"sdp":")" +
+    return R"({"type":"setup","id":")" + id +
+           R"(","fields":{"class":"voice","left":"3000","key":"7f","extras":"dest:1;width:1"},"sdp":")" +
            std::string(size, 'x') + "\"}\n";
   }
-  static std::string release(const std::string& id) { return R"({"type":"release","id":")" + id + R"(","fields":{},"cause":16})" + "\n"; }
+  static std::string release(const std::string& id) {
+    return R"({"type":"release","id":")" + id + R"(","fields":{},"cause":16})" + "\n";
+  }
 
   boost::asio::io_context context{1};
   Listener exchange, bulletin;
--- a/tests/program/theory.cpp
+++ b/tests/program/theory.cpp
@@ -1,5 +1,7 @@
 // The loss formulas against exact solutions of the Markov chains they stand for, and published values.
 
+#include "dimension/theory.hpp"
+
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -7,8 +9,6 @@
 #include <map>
 #include <vector>
 
-#include "dimension/theory.hpp"
-
 using namespace thistlefold::dimension;
 using doctest::Approx;
 
@@ -17,12 +17,13 @@
 /// Erlang's formula as it is written, in logarithms.
 double plainErlang(double load, int circuits) {
   double sum = 0;
-  for (int i = 0; i <= circuits; ++i) sum += std::exp(i * std::log(load) - std::lgamma(i + 1) - (circuits * std::log(load) - std::lgamma(circuits + 1)));
+  for (int i = 0; i <= circuits; ++i)
+    sum += std::exp(i * std::log(load) - std::lgamma(i + 1) - (circuits * std::log(load) - std::lgamma(circuits + 1)));
   return 1 / sum;
 }
 
-/// Two kinds of sessions on one group, as a chain of states (n1, n2): shares of time, by iteration. `lets(kind, n1, n2)`
-/// says whether a session may come in; `rate(kind, n)` how often one comes; each ends at rate one.
+/// Two kinds of sessions on one group, as a chain of states (n1, n2): shares of time, by iteration. `lets(kind, n1,
+/// n2)` says whether a session may come in; `rate(kind, n)` how often one comes; each ends at rate one.
 std::map<std::pair<int, int>, double> chain(int most1, int most2, const std::function<bool(int, int, int)>& lets,
                                             const std::function<double(int, int)>& rate) {
   struct State {
@@ -61,7 +62,8 @@
 
 TEST_CASE("Erlang B: as written, published values, ten thousand circuits, and between whole circuits") {
   for (const double load : {0.01, 0.5, 3.0, 10.0, 80.0, 400.0}) {
-    for (const int circuits : {0, 1, 2, 7, 30, 120, 450}) CHECK(erlangB(load, circuits) == Approx(plainErlang(load, circuits)).epsilon(1e-9));
+    for (const int circuits : {0, 1, 2, 7, 30, 120, 450})
+      CHECK(erlangB(load, circuits) == Approx(plainErlang(load, circuits)).epsilon(1e-9));
   }
   // Tables: 1% of loss on 10, 24 and 100 circuits is reached at 4.46, 15.3 and 84.1 erlangs.
   CHECK(loadFor(10, 0.01) == Approx(4.461).epsilon(0.0005));
@@ -160,7 +162,8 @@
   // First group of 6, then as many as the overflow could ever want.
   const double load = 7;
   const auto p = chain(
-      6, 40, [](int kind, int a, int b) { return kind == 0 ? a < 6 : a == 6 && b < 40; }, [&](int, int) { return load; });
+      6, 40, [](int kind, int a, int b) { return kind == 0 ? a < 6 : a == 6 && b < 40; },
+      [&](int, int) { return load; });
   double mean = 0, square = 0;
   for (const auto& [state, share] : p) {
     mean += share * state.second;
--- a/tests/program/town.hpp
+++ b/tests/program/town.hpp
@@ -3,7 +3,6 @@
 // Helpers: a small fleet on the virtual stage, a telephone that speaks IAX2 by hand, controllers that misbehave.
 
 #include <doctest/doctest.h>
-
 #include <unistd.h>
 
 #include <algorithm>
@@ -84,7 +83,7 @@
     return it == heard_.end() ? 0 : it->second;
   }
   int finals() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
-  std::deque<iax2::Call*> calls;  // that came in
+  std::deque<iax2::Call*> calls;    // that came in
   std::deque<iax2::Call*> dialled;  // from here, and not over yet
   std::uint64_t lastSession = 0;
   std::uint8_t lastCause = 0;
@@ -120,12 +119,16 @@
 class Town {
  public:
   explicit Town(Fleet fleet, MakeController make = openOffice, const std::string& capture = "town")
-      : path_((std::filesystem::temp_directory_path() / ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng")).string()),
+      : path_((std::filesystem::temp_directory_path() /
+               ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng"))
+                  .string()),
         stage_(day::virtualStage(std::move(fleet), std::move(make))),
         capture_(path_),
         directory_(offices(), stage_->fleet().places.size(), stage_->now()) {
-    stage_->tap([this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes,
-                       bool delivered) { capture_.write({at, delivered, from, to, bytes}); });
+    stage_->tap(
+        [this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes, bool delivered) {
+          capture_.write({at, delivered, from, to, bytes});
+        });
     stage_->fate([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
       return fate ? fate(from, to, bytes) : std::vector<Span>{Span::ms(5)};
     });
@@ -201,7 +204,8 @@
       const std::vector<iax2::Address> all = offices();
       const auto a = std::find(all.begin(), all.end(), from), b = std::find(all.begin(), all.end(), to);
       iax2::Frame frame;
-      if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::Reading::full) return std::vector<Span>{Span::ms(5)};
+      if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::Reading::full)
+        return std::vector<Span>{Span::ms(5)};
       return what(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
     };
   }
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -104,7 +104,9 @@
   phone.endpoint().hangUp(town.now(), *over, iax2::Iax::HANGUP, {});
   town.stage().nudge(day::kCallers);
   town.run(1000);
-  const auto read = [&](int place) { return boost::json::parse(town.stage().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array(); };
+  const auto read = [&](int place) {
+    return boost::json::parse(town.stage().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array();
+  };
   const auto first = read(0), second = read(1);
   REQUIRE(first.size() == 2);
   REQUIRE(second.size() == 1);
@@ -199,7 +201,8 @@
 
 TEST_CASE("who makes way: of least worth first, of these the newest, and no more than is wanted") {
   const std::vector<Kind> kinds{{1, 2, Span::ms(1000)}, {4, 1, Span::ms(1000)}};
-  const std::vector<Standing> standing{{0, Instant::ms(1)}, {1, Instant::ms(2)}, {1, Instant::ms(3)}, {0, Instant::ms(4)}};
+  const std::vector<Standing> standing{
+      {0, Instant::ms(1)}, {1, Instant::ms(2)}, {1, Instant::ms(3)}, {0, Instant::ms(4)}};
   CHECK(whoMakesWay(kinds, standing, 0).empty());
   CHECK(whoMakesWay(kinds, standing, 1) == std::vector<std::size_t>{2});
   CHECK(whoMakesWay(kinds, standing, 5) == std::vector<std::size_t>{2, 1});
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -229,10 +229,9 @@
     const auto [ending, reason] = hows.at(how);
     const bool far = how == "far-processor-full";
     const bool final = how == "ok" || how == "cut";
-    events_.push_back(
-        [&which, &at, ending = ending, reason = reason, far, told, final](Controller& controller) {
-          controller.ended(which, at, ending, reason, far, told, final);
-        });
+    events_.push_back([&which, &at, ending = ending, reason = reason, far, told, final](Controller& controller) {
+      controller.ended(which, at, ending, reason, far, told, final);
+    });
   }
 
   void event(const std::string& verb, std::istream& words) {
@@ -262,9 +261,7 @@
     } else if (verb == "ready" || verb == "draining" || verb == "gone") {
       Exchange& which = exchange(words);
       const Instant started = verb == "ready" ? now_ : Instant::longAgo();
-      const Readiness now = verb == "ready"  ? Readiness::ready
-                            : verb == "gone" ? Readiness::gone
-                                             : Readiness::draining;
+      const Readiness now = verb == "ready" ? Readiness::ready : verb == "gone" ? Readiness::gone : Readiness::draining;
       events_.push_back([&which, now, started](Controller& to) { to.listed(which, now, started); });
     } else if (verb == "list-failed") {
       events_.push_back([](Controller& controller) { controller.listFailed(); });
@@ -350,8 +347,7 @@
     SUBCASE(path.filename().c_str()) {
       std::ifstream file(path);
       const std::string name = path.filename().string();
-      const int checks =
-          path.extension() == ".txt" ? play<Scenario>(file, name) : play<WireScenario>(file, name);
+      const int checks = path.extension() == ".txt" ? play<Scenario>(file, name) : play<WireScenario>(file, name);
       CHECK_MESSAGE(checks > 0, name << " expects nothing");
     }
   }
@@ -370,17 +366,22 @@
   Scenario refusals;
   refusals.line("office; exchange B 0 20");
   refusals.line("at 1000");
-  each(refusals, [](const std::string& n) { return "session s" + n + " call B 3000 number " + n + "; => busy s" + n + " 900"; });
+  each(refusals,
+       [](const std::string& n) { return "session s" + n + " call B 3000 number " + n + "; => busy s" + n + " 900"; });
   // The oldest is forgotten and its redial a first try; the newest is owed what is left of its target.
-  refusals.line("at 1100; session x call B 3000 number 0; session y call B 3000 number 4096; => busy x 900; => busy y 840");
+  refusals.line(
+      "at 1100; session x call B 3000 number 0; session y call B 3000 number 4096; => busy x 900; => busy y 840");
   refusals.finish();
   Scenario numbers;
   numbers.line("office; exchange B 9000 9000");
   numbers.line("at 1000");
-  each(numbers, [](const std::string& n) { return "session s" + n + " call B 3000 number " + n + "; => invite s" + n + " B 1500"; });
+  each(numbers, [](const std::string& n) {
+    return "session s" + n + " call B 3000 number " + n + "; => invite s" + n + " B 1500";
+  });
   numbers.line("at 1010");
   each(numbers, [](const std::string& n) { return "ended s" + n + " B line-busy; => busy s" + n + " 2000"; });
   // All that are noted are held back; the one past the bound is tried. The oldest refusal is forgotten here too.
-  numbers.line("at 1020; session x call B 3000 number 0; session y call B 3000 number 4096; => busy x 900; => invite y B 1480");
+  numbers.line(
+      "at 1020; session x call B 3000 number 0; session y call B 3000 number 4096; => busy x 900; => invite y B 1480");
   numbers.finish();
 }
--- a/tests/wire_histories.cpp
+++ b/tests/wire_histories.cpp
@@ -1,5 +1,6 @@
-// Histories on the adapter's wire, judged by wire_judge.hpp: seeded ones that drive the real adapter and module with odd
-// but legal events, recorded ones in histories/*.wire, and one a rule in histories/rule-N.wire that must be rejected.
+// Histories on the adapter's wire, judged by wire_judge.hpp: seeded ones that drive the real adapter and module with
+// odd but legal events, recorded ones in histories/*.wire, and one a rule in histories/rule-N.wire that must be
+// rejected.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -39,7 +40,8 @@
       for (auto it = later_.begin(); it != due; ++it) batch.push_back(it->second);
       later_.erase(later_.begin(), due);
       // Lists and lives keep their order on this wire; all else may come in any.
-      const bool ordered = std::any_of(batch.begin(), batch.end(), [](const std::string& one) { return keepsOrder(one); });
+      const bool ordered =
+          std::any_of(batch.begin(), batch.end(), [](const std::string& one) { return keepsOrder(one); });
       if (!ordered && lot() < 0.2) std::shuffle(batch.begin(), batch.end(), chance_);
       for (const std::string& one : batch) {
         events += (events.empty() ? "" : ",") + one;
@@ -68,7 +70,9 @@
   };
 
   double lot() { return std::generate_canonical<double, 32>(chance_); }
-  std::size_t pick(std::size_t count) { return std::min(count - 1, static_cast<std::size_t>(lot() * static_cast<double>(count))); }
+  std::size_t pick(std::size_t count) {
+    return std::min(count - 1, static_cast<std::size_t>(lot() * static_cast<double>(count)));
+  }
   static std::string text(double number) {
     std::ostringstream out;
     out << std::fixed;
@@ -93,19 +97,23 @@
     for (int i = 0; i < 3; ++i) startOffice(i);
   }
   void startOffice(int i) {
-    tell(now_, "{\"START\":{\"I\":\"" + name(i) + "\",\"InitSeed\":" + std::to_string(chance_() % 1000) +
-                   ",\"Conf\":{\"Caps\":{\"MaxAttempts\":6,\"RetryAfter\":true,\"MaxRetryAfter\":2000},\"FamilyInfo\":{\"ThisNode\":" +
-                   std::to_string(i) +
-                   ",\"ClearWait\":300,\"MeanHold\":[3000]},\"Grades\":[{\"Aim\":1500,\"GiveUp\":9000,\"LateValue\":0.25}],"
-                   "\"Obligations\":{\"AnswerSlack\":20,\"ColdFrom\":0.3,\"DrainGrace\":500,\"FallMultiple\":3,\"TipAfter\":1500,"
-                   "\"WarmAfter\":6000}}}}");
+    tell(now_,
+         "{\"START\":{\"I\":\"" + name(i) + "\",\"InitSeed\":" + std::to_string(chance_() % 1000) +
+             ",\"Conf\":{\"Caps\":{\"MaxAttempts\":6,\"RetryAfter\":true,\"MaxRetryAfter\":2000},\"FamilyInfo\":{"
+             "\"ThisNode\":" +
+             std::to_string(i) +
+             ",\"ClearWait\":300,\"MeanHold\":[3000]},\"Grades\":[{\"Aim\":1500,\"GiveUp\":9000,\"LateValue\":0.25}],"
+             "\"Obligations\":{\"AnswerSlack\":20,\"ColdFrom\":0.3,\"DrainGrace\":500,\"FallMultiple\":3,\"TipAfter\":"
+             "1500,"
+             "\"WarmAfter\":6000}}}}");
     list(i, 2);
     for (int k = 0; k < 3; ++k) {
       if (k != i) echo(i, k);
     }
   }
   void echo(int office, int place) {
-    tell(now_, "{\"ECHO\":{\"I\":\"" + name(office) + "\",\"Ending\":0,\"Lag\":0,\"Exchange\":" + std::to_string(id_[place]) +
+    tell(now_, "{\"ECHO\":{\"I\":\"" + name(office) +
+                   "\",\"Ending\":0,\"Lag\":0,\"Exchange\":" + std::to_string(id_[place]) +
                    ",\"Feedback\":{\"free\":" + std::to_string(pick(25)) + ",\"size\":24,\"can_take\":-1}}}");
   }
   /// The whole list as it is now; entries of machines that went before stand in it as gone until it is told anew.
@@ -115,11 +123,12 @@
       members += (members.empty() ? "" : ",") + entry(id_[k], k, state_[k], started_[k]);
     }
     tell(now_, "{\"POOL\":{\"Bank\":0,\"Members\":[" + members + "]}}");
-    tell(now_, "{\"MEMBERS\":{\"I\":\"" + name(office) + "\",\"Generation\":1,\"Bank\":0,\"Mode\":" + std::to_string(mode) + "}}");
+    tell(now_, "{\"MEMBERS\":{\"I\":\"" + name(office) +
+                   "\",\"Generation\":1,\"Bank\":0,\"Mode\":" + std::to_string(mode) + "}}");
   }
   static std::string entry(unsigned id, int place, int state, double started) {
-    return "{\"Exchange\":" + std::to_string(id) + ",\"PlaceNo\":" + std::to_string(place) + ",\"Readiness\":" + std::to_string(state) +
-           ",\"LastStart\":" + text(started) + "}";
+    return "{\"Exchange\":" + std::to_string(id) + ",\"PlaceNo\":" + std::to_string(place) +
+           ",\"Readiness\":" + std::to_string(state) + ",\"LastStart\":" + text(started) + "}";
   }
 
   void dial(bool transit = false, int at = -1) {
@@ -128,8 +137,11 @@
     const std::string ticket = "t" + std::to_string(++serial_);
     const double deadline = now_ + 300 + lot() * 3000;
     tell(now_, "{\"INCOMING\":{\"I\":\"" + name(office) + "\",\"Ticket\":\"" + ticket + "\",\"Bits\":" +
-                   (transit ? "8" : lot() < 0.1 ? "16" : "0") + ",\"Width\":1,\"Category\":0,\"FarEnd\":" + std::to_string(to) +
-                   ",\"Deadline\":" + text(deadline) + ",\"Item\":\"" + std::to_string(pick(30)) + "\"}}");
+                   (transit       ? "8"
+                    : lot() < 0.1 ? "16"
+                                  : "0") +
+                   ",\"Width\":1,\"Category\":0,\"FarEnd\":" + std::to_string(to) + ",\"Deadline\":" + text(deadline) +
+                   ",\"Item\":\"" + std::to_string(pick(30)) + "\"}}");
     if (lot() < 0.1) {
       tell(now_ + lot() * 2000, "{\"ABANDONED\":{\"I\":\"" + name(office) + "\",\"Ticket\":\"" + ticket + "\"}}");
     }
@@ -192,7 +204,8 @@
       }
       if (kind == "ISSUE") {
         const std::string ticket = fields["Ticket"].GetString();
-        outcome({office, ticket, fields["Exchange"].GetUint(), trials_[ticket]++, now_, fields["GiveUpAfter"].GetDouble()});
+        outcome(
+            {office, ticket, fields["Exchange"].GetUint(), trials_[ticket]++, now_, fields["GiveUpAfter"].GetDouble()});
       }
     }
   }
@@ -204,20 +217,23 @@
     const double how = lot();
     if (silent || at >= limit) return ended(one, limit, 4, 0, false);
     if (how < 0.6) {
-      tell(at, "{\"ACCEPTED\":{\"I\":\"" + one.office + "\",\"Ticket\":\"" + one.ticket + "\",\"Trial\":" + std::to_string(one.trial) +
-                   ",\"Exchange\":" + std::to_string(one.exchange) + ",\"Lag\":" + text(at - one.at) + "}}");
+      tell(at, "{\"ACCEPTED\":{\"I\":\"" + one.office + "\",\"Ticket\":\"" + one.ticket +
+                   "\",\"Trial\":" + std::to_string(one.trial) + ",\"Exchange\":" + std::to_string(one.exchange) +
+                   ",\"Lag\":" + text(at - one.at) + "}}");
       return ended(one, at + 50 + lot() * 3000, lot() < 0.9 ? 0 : 10, 0, true);
     }
-    static constexpr int kHows[][2] = {{8, 1}, {8, 2}, {8, 18}, {8, 3}, {8, 3 + 16 * 200}, {10, 0}, {13, 4}, {14, 0}, {9, 1}};
+    static constexpr int kHows[][2] = {{8, 1},  {8, 2},  {8, 18}, {8, 3}, {8, 3 + 16 * 200},
+                                       {10, 0}, {13, 4}, {14, 0}, {9, 1}};
     const auto& [ending, note] = kHows[pick(std::size(kHows))];
     ended(one, ending == 9 ? one.at : at, ending, note, false);
   }
   void ended(const Out& one, double at, int ending, int note, bool final) {
     tell(std::max(at, one.at + 1),
-         "{\"ENDED\":{\"I\":\"" + one.office + "\",\"Ticket\":\"" + one.ticket + "\",\"Note\":" + std::to_string(note) + ",\"Exchange\":" +
-             std::to_string(one.exchange) + ",\"Trial\":" + std::to_string(one.trial) + ",\"Ending\":" + std::to_string(ending) +
-             ",\"Lag\":" + text(at - one.at) + ",\"Final\":" + (final ? "true" : "false") + ",\"Feedback\":{\"free\":" +
-             std::to_string(pick(25)) + ",\"size\":24,\"can_take\":" + std::to_string(pick(150)) + "}}}");
+         "{\"ENDED\":{\"I\":\"" + one.office + "\",\"Ticket\":\"" + one.ticket + "\",\"Note\":" + std::to_string(note) +
+             ",\"Exchange\":" + std::to_string(one.exchange) + ",\"Trial\":" + std::to_string(one.trial) +
+             ",\"Ending\":" + std::to_string(ending) + ",\"Lag\":" + text(at - one.at) +
+             ",\"Final\":" + (final ? "true" : "false") + ",\"Feedback\":{\"free\":" + std::to_string(pick(25)) +
+             ",\"size\":24,\"can_take\":" + std::to_string(pick(150)) + "}}}");
     // A transit session comes with some of them; whose it is does not matter to its office.
     if (lot() < 0.1) dial(true);
   }
--- a/tests/wire_judge.hpp
+++ b/tests/wire_judge.hpp
@@ -160,7 +160,8 @@
     if (kind != "ISSUE") {
       if (one.answered) breach(1, name + " gave " + ticket + " a second final answer");
       if (out) breach(1, name + " answered " + ticket + " while an INVITE was out");
-      if (now_ > one.deadline + office.answerSlack && !one.answered) breach(1, name + " answered " + ticket + " too late");
+      if (now_ > one.deadline + office.answerSlack && !one.answered)
+        breach(1, name + " answered " + ticket + " too late");
       one.answered = true;
       ++finals;
       return;
@@ -170,10 +171,12 @@
     if (one.answered) breach(1, name + " sent an INVITE for " + ticket + ", which was answered");
     if (out) breach(2, name + " sent an INVITE for " + ticket + " while another was out");
     for (const Invite& earlier : one.invites) {
-      if (now_ < earlier.releasedAt + office.clearWait) breach(5, name + " sent " + ticket + " again within the release time");
+      if (now_ < earlier.releasedAt + office.clearWait)
+        breach(5, name + " sent " + ticket + " again within the release time");
     }
     const auto told = office.readiness.find(to);
-    if (told == office.readiness.end()) breach(3, name + " sent to an exchange that it was never told of");
+    if (told == office.readiness.end())
+      breach(3, name + " sent to an exchange that it was never told of");
     else if (told->second.first != 2 && now_ > told->second.second + office.drainGrace) {
       breach(3, name + " sent to an exchange that drains or is gone");
     }
@@ -190,7 +193,8 @@
     while (now_ - exchange.sent.front() > tipAfter_) exchange.sent.pop_front();
     const double canDo = setUpsASecond_ * (coldFrom_ + (1 - coldFrom_) * age / warmAfter_) * tipAfter_ / 1000;
     if (static_cast<double>(exchange.sent.size()) > fallMultiple_ * canDo) {
-      breach(4, "the cold exchange " + std::to_string(id) + " got " + std::to_string(exchange.sent.size()) + " set-ups");
+      breach(4,
+             "the cold exchange " + std::to_string(id) + " got " + std::to_string(exchange.sent.size()) + " set-ups");
     }
   }
 
