--- a/include/thistlefold/controller.hpp
+++ b/include/thistlefold/controller.hpp
@@ -3,10 +3,10 @@
 #include <cstdint>
 #include <memory>
 
+#include "thistlefold/decision_sink.hpp"
 #include "thistlefold/exchange.hpp"
-#include "thistlefold/office_data.hpp"
+#include "thistlefold/office_config.hpp"
 #include "thistlefold/session.hpp"
-#include "thistlefold/writer.hpp"
 
 namespace thistlefold {
 
--- a/include/thistlefold/session.hpp
+++ b/include/thistlefold/session.hpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "thistlefold/office_data.hpp"
+#include "thistlefold/office_config.hpp"
 #include "thistlefold/time.hpp"
 
 namespace thistlefold {
--- a/src/audit/ladder.cpp
+++ b/src/audit/session_trace.cpp
@@ -1,4 +1,4 @@
-#include "audit/ladder.hpp"
+#include "audit/session_trace.hpp"
 
 #include <functional>
 #include <iomanip>
--- a/src/drill/drill.cpp
+++ b/src/bench_adapter/bench_adapter.cpp
@@ -1,4 +1,4 @@
-#include "drill.hpp"
+#include "bench_adapter.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -17,9 +17,9 @@
 #include <vector>
 
 #include "thistlefold/controller.hpp"
+#include "wire/exchange_registry.hpp"
 #include "wire/fields.hpp"
-#include "wire/roster.hpp"
-#include "wire/start.hpp"
+#include "wire/office_config.hpp"
 
 namespace thistlefold::drill {
 namespace {
@@ -152,7 +152,7 @@
   Session* held(const Value& fields) {
     const auto it = sessions_.find(std::string(name(fields, "Ticket")));
     if (it != sessions_.end()) return it->second.get();
-    std::cerr << "thistlefold_drill: no such session: " << name(fields, "Ticket") << '\n';
+    std::cerr << "thistlefold_bench_adapter: no such session: " << name(fields, "Ticket") << '\n';
     return nullptr;
   }
 
@@ -161,7 +161,7 @@
   Session* ofLastInvite(const Value& fields) {
     Session* session = held(fields);
     if (session == nullptr || integer(fields, "Trial", session->invites - 1) == session->invites - 1) return session;
-    std::cerr << "thistlefold_drill: not of its last INVITE: " << name(fields, "Ticket") << '\n';
+    std::cerr << "thistlefold_bench_adapter: not of its last INVITE: " << name(fields, "Ticket") << '\n';
     return nullptr;
   }
 
@@ -191,7 +191,7 @@
     if (read.ec != std::errc()) wrong("Item", "hex digits are wanted");
     TicketedSession& kept = *session;
     if (sessions_.emplace(kept.ticket, std::move(session)).second) return controller_->incoming(kept);
-    std::cerr << "thistlefold_drill: told of twice: " << name(fields, "Ticket") << '\n';
+    std::cerr << "thistlefold_bench_adapter: told of twice: " << name(fields, "Ticket") << '\n';
   }
 
   void ended(const Value& fields) {
@@ -199,7 +199,7 @@
     Session* session = ofLastInvite(fields);
     if (session == nullptr) return;
     if (at == nullptr) {
-      std::cerr << "thistlefold_drill: no such exchange: " << exchangeId(fields) << '\n';
+      std::cerr << "thistlefold_bench_adapter: no such exchange: " << exchangeId(fields) << '\n';
       return;
     }
     feedback(*at, object(fields, "Feedback"));
@@ -312,7 +312,7 @@
     }
     const auto office = state_->offices.find(instance);
     if (office == state_->offices.end()) {
-      std::cerr << "thistlefold_drill: " << kind << " for " << instance << ", which is not running\n";
+      std::cerr << "thistlefold_bench_adapter: " << kind << " for " << instance << ", which is not running\n";
       continue;
     }
     Event event{kind, &fields, nullptr};
--- a/src/drill/main.cpp
+++ b/src/bench_adapter/main.cpp
@@ -1,6 +1,6 @@
 #include <iostream>
 
-#include "drill.hpp"
+#include "bench_adapter.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
@@ -11,7 +11,7 @@
     try {
       std::cout << drill.answer(line) << '\n' << std::flush;
     } catch (const thistlefold::drill::WireFault& fault) {
-      std::cerr << "thistlefold_drill: line " << number << ": " << fault.what() << '\n';
+      std::cerr << "thistlefold_bench_adapter: line " << number << ": " << fault.what() << '\n';
       return 1;
     }
   }
--- a/src/command/audit.cpp
+++ b/src/command/audit.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <iostream>
 
-#include "audit/ladder.hpp"
+#include "audit/session_trace.hpp"
 #include "command/commands.hpp"
 #include "settings/files.hpp"
 
--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "net/attend.hpp"
+#include "net/datagram_runner.hpp"
 #include "net/real.hpp"
 
 namespace thistlefold::command {
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -12,7 +12,7 @@
 
 #include "command/commands.hpp"
 #include "net/real.hpp"
-#include "net/streams.hpp"
+#include "net/stream_runner.hpp"
 #include "platform/softswitch.hpp"
 
 namespace thistlefold::command {
--- a/src/command/ask.cpp
+++ b/src/command/office_query.cpp
@@ -1,4 +1,4 @@
-#include "command/ask.hpp"
+#include "command/office_query.hpp"
 
 #include <chrono>
 #include <thread>
--- a/src/command/standins.cpp
+++ b/src/command/simulators.cpp
@@ -7,9 +7,9 @@
 #include "command/host.hpp"
 #include "day/script.hpp"
 #include "settings/files.hpp"
-#include "standins/callers.hpp"
-#include "standins/directory.hpp"
-#include "standins/exchange.hpp"
+#include "simulators/callers.hpp"
+#include "simulators/directory.hpp"
+#include "simulators/exchange.hpp"
 
 namespace thistlefold::command {
 namespace {
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -2,8 +2,8 @@
 #include <iomanip>
 #include <iostream>
 
-#include "command/ask.hpp"
 #include "command/commands.hpp"
+#include "command/office_query.hpp"
 
 namespace thistlefold::command {
 namespace {
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -12,8 +12,8 @@
 #include <stdexcept>
 #include <tuple>
 
-#include "command/ask.hpp"
 #include "command/commands.hpp"
+#include "command/office_query.hpp"
 #include "pages/plot.hpp"
 #include "pages/zones_account.hpp"
 #include "pages/zones_page.hpp"
--- a/src/day/loopback_stage.cpp
+++ b/src/day/loopback_testbed.cpp
@@ -12,8 +12,8 @@
 #include <map>
 #include <thread>
 
-#include "day/stage.hpp"
-#include "net/attend.hpp"
+#include "day/testbed.hpp"
+#include "net/datagram_runner.hpp"
 #include "net/real.hpp"
 #include "settings/files.hpp"
 
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <sstream>
 
-#include "standins/directory.hpp"
+#include "simulators/directory.hpp"
 
 namespace thistlefold::day {
 namespace {
--- a/src/day/play.hpp
+++ b/src/day/play.hpp
@@ -7,7 +7,7 @@
 
 #include "audit/audit.hpp"
 #include "day/script.hpp"
-#include "day/stage.hpp"
+#include "day/testbed.hpp"
 
 namespace thistlefold::day {
 
--- a/src/day/script.hpp
+++ b/src/day/script.hpp
@@ -8,8 +8,8 @@
 
 #include "fleet/fleet.hpp"
 #include "settings/form.hpp"
-#include "standins/callers.hpp"
-#include "standins/exchange.hpp"
+#include "simulators/callers.hpp"
+#include "simulators/exchange.hpp"
 
 namespace thistlefold::day {
 
--- a/src/day/stage.hpp
+++ b/src/day/testbed.hpp
@@ -10,10 +10,10 @@
 
 #include "audit/audit.hpp"
 #include "capture/capture.hpp"
+#include "datagram_handler.hpp"
 #include "fleet/fleet.hpp"
 #include "net/virtual.hpp"
 #include "office/office.hpp"
-#include "station.hpp"
 
 namespace thistlefold::day {
 
--- a/src/day/virtual_stage.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -1,7 +1,7 @@
 #include <map>
 
-#include "day/stage.hpp"
-#include "net/attend.hpp"
+#include "day/testbed.hpp"
+#include "net/datagram_runner.hpp"
 
 namespace thistlefold::day {
 
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "iax2/address.hpp"
-#include "thistlefold/office_data.hpp"
+#include "thistlefold/office_config.hpp"
 #include "zones/budget.hpp"
 
 namespace thistlefold {
--- a/src/net/attend.cpp
+++ b/src/net/datagram_runner.cpp
@@ -1,4 +1,4 @@
-#include "net/attend.hpp"
+#include "net/datagram_runner.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/src/net/attend.hpp
+++ b/src/net/datagram_runner.hpp
@@ -4,9 +4,9 @@
 #include <functional>
 #include <memory>
 
+#include "datagram_handler.hpp"
 #include "net/clock.hpp"
 #include "net/port.hpp"
-#include "station.hpp"
 
 namespace thistlefold::net {
 
--- a/src/net/streams.cpp
+++ b/src/net/stream_runner.cpp
@@ -1,4 +1,4 @@
-#include "net/streams.hpp"
+#include "net/stream_runner.hpp"
 
 #include <array>
 #include <boost/asio/co_spawn.hpp>
--- a/src/net/streams.hpp
+++ b/src/net/stream_runner.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "net/clock.hpp"
-#include "party.hpp"
+#include "stream_handler.hpp"
 
 namespace thistlefold::net {
 
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "zones/word.hpp"
+#include "zones/lease_message.hpp"
 
 namespace thistlefold {
 
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -16,15 +16,15 @@
 #include <unordered_map>
 #include <vector>
 
+#include "datagram_handler.hpp"
 #include "fleet/fleet.hpp"
 #include "iax2/endpoint.hpp"
 #include "office/list.hpp"
-#include "office/trunk.hpp"
-#include "station.hpp"
+#include "office/trunk_group.hpp"
 #include "thistlefold/controller.hpp"
 #include "zones/lease.hpp"
 #include "zones/ledger.hpp"
-#include "zones/mirror.hpp"
+#include "zones/peer_usage.hpp"
 #include "zones/top_users.hpp"
 
 namespace thistlefold {
--- a/src/platform/bulletin.hpp
+++ b/src/platform/bulletin.hpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "iax2/address.hpp"
+#include "wire/exchange_registry.hpp"
 #include "wire/fields.hpp"
-#include "wire/roster.hpp"
 
 namespace thistlefold::platform {
 
--- a/src/platform/deployment.cpp
+++ b/src/platform/deployment.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "platform/message.hpp"
-#include "wire/start.hpp"
+#include "wire/office_config.hpp"
 
 namespace thistlefold::platform {
 namespace {
--- a/src/platform/deployment.hpp
+++ b/src/platform/deployment.hpp
@@ -9,7 +9,7 @@
 
 #include "iax2/address.hpp"
 #include "platform/bulletin.hpp"
-#include "thistlefold/office_data.hpp"
+#include "thistlefold/office_config.hpp"
 
 namespace thistlefold::platform {
 
--- a/src/platform/sides.hpp
+++ b/src/platform/sides.hpp
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "iax2/address.hpp"
-#include "party.hpp"
 #include "platform/message.hpp"
+#include "stream_handler.hpp"
 #include "thistlefold/session.hpp"
-#include "wire/roster.hpp"
+#include "wire/exchange_registry.hpp"
 
 namespace thistlefold::platform {
 
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -9,11 +9,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "party.hpp"
 #include "platform/deployment.hpp"
 #include "platform/message.hpp"
+#include "stream_handler.hpp"
 #include "thistlefold/controller.hpp"
-#include "thistlefold/writer.hpp"
+#include "thistlefold/decision_sink.hpp"
 
 namespace thistlefold::platform {
 
--- a/src/standins/callers.cpp
+++ b/src/simulators/callers.cpp
@@ -1,4 +1,4 @@
-#include "standins/callers.hpp"
+#include "simulators/callers.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/standins/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "datagram_handler.hpp"
 #include "fleet/fleet.hpp"
 #include "iax2/endpoint.hpp"
-#include "station.hpp"
 
 namespace thistlefold {
 
--- a/src/standins/directory.cpp
+++ b/src/simulators/directory.cpp
@@ -1,4 +1,4 @@
-#include "standins/directory.hpp"
+#include "simulators/directory.hpp"
 
 #include <algorithm>
 
--- a/src/standins/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "datagram_handler.hpp"
 #include "office/list.hpp"
-#include "station.hpp"
 
 namespace thistlefold {
 
--- a/src/standins/exchange.cpp
+++ b/src/simulators/exchange.cpp
@@ -1,4 +1,4 @@
-#include "standins/exchange.hpp"
+#include "simulators/exchange.hpp"
 
 #include <algorithm>
 
--- a/src/standins/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <unordered_map>
 
+#include "datagram_handler.hpp"
 #include "iax2/endpoint.hpp"
-#include "station.hpp"
 
 namespace thistlefold {
 
--- a/src/wire/roster.cpp
+++ b/src/wire/exchange_registry.cpp
@@ -1,4 +1,4 @@
-#include "wire/roster.hpp"
+#include "wire/exchange_registry.hpp"
 
 #include <algorithm>
 
--- a/src/wire/start.cpp
+++ b/src/wire/office_config.cpp
@@ -1,4 +1,4 @@
-#include "wire/start.hpp"
+#include "wire/office_config.hpp"
 
 #include "wire/fields.hpp"
 
--- a/src/wire/start.hpp
+++ b/src/wire/office_config.hpp
@@ -3,7 +3,7 @@
 // What an office is told when it is put into service: the simulator's first message and a softswitch's configuration
 // hold the same object.
 
-#include "thistlefold/office_data.hpp"
+#include "thistlefold/office_config.hpp"
 #include "wire/fields.hpp"
 
 namespace thistlefold::wire {
--- a/src/zones/word.cpp
+++ b/src/zones/lease_message.cpp
@@ -1,4 +1,4 @@
-#include "zones/word.hpp"
+#include "zones/lease_message.hpp"
 
 #include <sstream>
 
--- a/src/zones/mirror.cpp
+++ b/src/zones/peer_usage.cpp
@@ -1,4 +1,4 @@
-#include "zones/mirror.hpp"
+#include "zones/peer_usage.hpp"
 
 namespace thistlefold::zones {
 
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -1,6 +1,6 @@
 // The audit must be able to fail: a controller that breaks a rule in the module's place is named for it.
 
-#include "town.hpp"
+#include "fleet_fixture.hpp"
 
 using namespace thistlefold;
 using test::reckless;
--- a/tests/program/town.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -12,12 +12,12 @@
 #include <map>
 
 #include "audit/audit.hpp"
-#include "audit/ladder.hpp"
+#include "audit/session_trace.hpp"
 #include "day/play.hpp"
-#include "day/stage.hpp"
+#include "day/testbed.hpp"
 #include "iax2/endpoint.hpp"
-#include "standins/directory.hpp"
-#include "standins/exchange.hpp"
+#include "simulators/directory.hpp"
+#include "simulators/exchange.hpp"
 
 namespace thistlefold::test {
 
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <sstream>
 
+#include "fleet_fixture.hpp"
 #include "office/list.hpp"
-#include "town.hpp"
 
 using namespace thistlefold;
 using test::smallFleet;
--- a/tests/program/iax2.cpp
+++ b/tests/program/iax2.cpp
@@ -5,8 +5,8 @@
 #include <queue>
 #include <random>
 
+#include "fleet_fixture.hpp"
 #include "iax2/endpoint.hpp"
-#include "town.hpp"
 
 using namespace thistlefold;
 using namespace thistlefold::iax2;
--- a/tests/program/lease.cpp
+++ b/tests/program/lease.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "model/zone_model.hpp"
-#include "zones/word.hpp"
+#include "zones/lease_message.hpp"
 
 using namespace thistlefold;
 using namespace thistlefold::zones;
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -1,6 +1,6 @@
 // The session engine against stand-ins on the virtual network: the failures it is built for, each caused.
 
-#include "town.hpp"
+#include "fleet_fixture.hpp"
 
 using namespace thistlefold;
 using test::smallFleet;
--- a/tests/program/streams.cpp
+++ b/tests/program/streams.cpp
@@ -2,8 +2,6 @@
 // reset lies in the system's buffers before the softswitch runs at all, so that each crossing is forced by order and
 // not by time.
 
-#include "net/streams.hpp"
-
 #include <doctest/doctest.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -15,6 +13,7 @@
 #include <memory>
 
 #include "net/real.hpp"
+#include "net/stream_runner.hpp"
 #include "platform/softswitch.hpp"
 
 using namespace thistlefold;
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -5,10 +5,10 @@
 #include <random>
 #include <set>
 
-#include "town.hpp"
+#include "fleet_fixture.hpp"
 #include "zones/budget.hpp"
 #include "zones/ledger.hpp"
-#include "zones/mirror.hpp"
+#include "zones/peer_usage.hpp"
 #include "zones/top_users.hpp"
 
 using namespace thistlefold;
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <sstream>
 
-#include "drill.hpp"
+#include "bench_adapter.hpp"
 #include "thistlefold/controller.hpp"
 
 namespace {
--- a/tests/wire_histories.cpp
+++ b/tests/wire_histories.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <sstream>
 
-#include "drill.hpp"
+#include "bench_adapter.hpp"
 #include "wire_judge.hpp"
 
 namespace {
