--- a/bench/office_bench.cpp
+++ b/bench/office_bench.cpp
@@ -17,48 +17,48 @@
 /// Goes direct and answers; decides nothing. The baseline.
 class AlwaysDirect final : public Controller {
  public:
-  void round(Instant now, Arrivals& arrivals, Writer& writer) override {
-    writer_ = &writer;
-    arrivals.deliver(*this);
+  void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
+    sink_ = &sink;
+    events.deliver(*this);
     for (Session* session : std::exchange(inHand_, {})) {
-      if (session->over) continue;
+      if (session->finished) continue;
       if (session->destination != nullptr && now < session->timerLimit && session->invites++ == 0) {
-        writer.invite(*session, *session->destination, session->timerLimit - now);
+        sink.invite(*session, *session->destination, session->timerLimit - now);
       } else {
-        session->over = true;
-        writer.busy(*session, Span::none());
+        session->finished = true;
+        sink.rejectBusy(*session, Span::none());
       }
     }
-    writer.wakeIn(Span::ms(100));
+    sink.scheduleWakeUp(Span::ms(100));
   }
-  void listed(Exchange&, Readiness, Instant) override {}
+  void exchangeListed(Exchange&, Readiness, Instant) override {}
   void listFailed() override {}
-  void circuits(Exchange&, double, double) override {}
-  void reported(Exchange&, double) override {}
-  void incoming(Session& session) override { inHand_.push_back(&session); }
-  void accepted(Session&, Span) override {}
-  void ended(Session& session, Exchange&, Ending, Reason, bool, Span, bool final) override {
-    if (final) session.over = true;
+  void circuitsChanged(Exchange&, double, double) override {}
+  void capacityReported(Exchange&, double) override {}
+  void sessionArrived(Session& session) override { inHand_.push_back(&session); }
+  void inviteAccepted(Session&, Span) override {}
+  void inviteEnded(Session& session, Exchange&, InviteOutcome, BlockingReason, bool, Span, bool final) override {
+    if (final) session.finished = true;
     if (!final) inHand_.push_back(&session);
   }
-  void abandoned(Session& session) override { session.over = true; }
+  void sessionAbandoned(Session& session) override { session.finished = true; }
 
  private:
-  Writer* writer_ = nullptr;
+  DecisionSink* sink_ = nullptr;
   std::vector<Session*> inHand_;
 };
 
 /// With `across`, the measured office is in a zone of its own and every leg crosses.
 Fleet fleetOf(int places, bool across, int budget, zones::Dividing dividing) {
   Fleet fleet;
-  fleet.offers = {{"call", 1}};
+  fleet.offeredServices = {{"call", 1}};
   Service service;
   service.postDialTarget = Span::ms(2000);
   service.timerLimit = Span::ms(9000);
   service.meanHold = Span::ms(1000);
   fleet.data.services = {service};
   fleet.data.maxInvites = 6;
-  fleet.data.clearWait = Span::ms(300);
+  fleet.data.releaseTime = Span::ms(300);
   fleet.directory = {9, 9};
   for (int i = 0; i < places; ++i) {
     Place place;
@@ -82,29 +82,29 @@
 }
 
 /// The far ends: callers and other offices in one, each an endpoint of its own.
-struct FarEnd final : iax2::Door, iax2::CallOwner {
-  explicit FarEnd(std::uint64_t seed) : endpoint(*this, seed, patience()) {}
-  static iax2::Patience patience() {
-    iax2::Patience short_;
+struct FarEnd final : iax2::CallListener, iax2::CallOwner {
+  explicit FarEnd(std::uint64_t seed) : endpoint(*this, seed, timing()) {}
+  static iax2::DialogueTiming timing() {
+    iax2::DialogueTiming short_;
     // Sessions follow each other so fast here that numbers that linger for ten seconds would run out.
     short_.linger = Span::ms(500);
     return short_;
   }
-  void opened(iax2::Call& call, const iax2::Frame&) override {
-    call.belongTo(this);
+  void onIncomingCall(iax2::Call& call, const iax2::Frame&) override {
+    call.setOwner(this);
     endpoint.send(now, call, iax2::Iax::ACCEPT);
     endpoint.send(now, call, iax2::Control::answer);
   }
-  void ponged(iax2::Address, const iax2::Frame&) override {}
-  iax2::Elements greeting(iax2::Address) override {
+  void onPong(iax2::Address, const iax2::Frame&) override {}
+  iax2::Elements pongElements(iax2::Address) override {
     iax2::Elements e;
     e.started = 1u;
     return e;
   }
-  void heard(iax2::Call& call, const iax2::Frame& frame) override {
+  void onFrame(iax2::Call& call, const iax2::Frame& frame) override {
     if (frame.is(iax2::Control::answer)) standing.push_back(&call);
   }
-  void gone(iax2::Call&, iax2::Gone) override {}
+  void onCallEnded(iax2::Call&, iax2::CallEnd) override {}
 
   iax2::Endpoint endpoint;
   Instant now;
@@ -114,22 +114,22 @@
 const iax2::Address kOffice{1, 1}, kCaller{2, 2};
 
 struct Bench {
-  Bench(int places, const MakeController& make, bool across = false, int budget = 0,
+  Bench(int places, const ControllerFactory& make, bool across = false, int budget = 0,
         zones::Dividing dividing = zones::Dividing::equal)
       : fleet(fleetOf(places, across, budget, dividing)), office(fleet, setting(), now, make) {
     ExchangeList list{1, 1, true, {}, {}};
-    for (int i = 0; i < places; ++i) list.listings.push_back({i, Readiness::ready, 1, Span::ms(1e6)});
+    for (int i = 0; i < places; ++i) list.entries.push_back({i, Readiness::ready, 1, Span::ms(1e6)});
     const std::string text = encode(list);
-    office.take(now, fleet.directory, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
+    office.receive(now, fleet.directory, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
     // An office that was just started lets nothing across a budget for a moment.
     now = now + Span::ms(1500);
     exchange(4);
   }
-  static OfficeSetting setting() {
-    OfficeSetting setting;
+  static OfficeOptions setting() {
+    OfficeOptions setting;
     setting.mostSessions = 100000;
-    setting.patience.mostCalls = 200000;
-    setting.patience.linger = Span::ms(500);
+    setting.timing.mostCalls = 200000;
+    setting.timing.linger = Span::ms(500);
     return setting;
   }
   /// Everything that is to go passes to and fro, `times` over.
@@ -138,11 +138,11 @@
       now = now + Span::ms(0.2);
       far.now = callers.now = now;
       callers.endpoint.expire(now);
-      callers.endpoint.flush(now, [&](iax2::Address, iax2::Bytes bytes) { office.take(now, kCaller, bytes); });
+      callers.endpoint.flush(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, kCaller, bytes); });
       far.endpoint.expire(now);
       far.endpoint.flush(now, [&](iax2::Address, iax2::Bytes) {});
-      for (auto& [from, bytes] : std::exchange(toOffice, {})) office.take(now, from, bytes);
-      office.turn(now, [&](iax2::Address to, iax2::Bytes bytes) {
+      for (auto& [from, bytes] : std::exchange(toOffice, {})) office.receive(now, from, bytes);
+      office.process(now, [&](iax2::Address to, iax2::Bytes bytes) {
         if (to == kCaller) return callers.endpoint.receive(now, kOffice, bytes);
         // The far end must see different peers; its endpoint answers each from where it was asked.
         peer = to;
@@ -179,10 +179,10 @@
   std::size_t serial = 0;
 };
 
-std::unique_ptr<Controller> direct(const OfficeData&, std::uint64_t) { return std::make_unique<AlwaysDirect>(); }
+std::unique_ptr<Controller> direct(const OfficeConfig&, std::uint64_t) { return std::make_unique<AlwaysDirect>(); }
 
 /// A session from NEW to the confirmed HANGUP, ten a round.
-void session(benchmark::State& state, const MakeController& make, bool across = false, int budget = 0,
+void session(benchmark::State& state, const ControllerFactory& make, bool across = false, int budget = 0,
              zones::Dividing dividing = zones::Dividing::equal) {
   Bench bench(static_cast<int>(state.range(0)), make, across, budget, dividing);
   constexpr int kAtOnce = 10;
@@ -193,20 +193,20 @@
     bench.exchange(2);
   }
   state.SetItemsProcessed(state.iterations() * kAtOnce);
-  state.counters["stood"] = static_cast<double>(bench.office.tally().stood) / static_cast<double>(bench.serial);
+  state.counters["stood"] = static_cast<double>(bench.office.counters().stood) / static_cast<double>(bench.serial);
 }
 
-void sessionByModule(benchmark::State& state) { session(state, openOffice); }
+void sessionByModule(benchmark::State& state) { session(state, makeController); }
 void sessionDirect(benchmark::State& state) { session(state, direct); }
 
 // The same sessions, with every leg across zones: in the account, and under a budget that never binds.
-void sessionAcross(benchmark::State& state) { session(state, openOffice, true); }
-void sessionBudget(benchmark::State& state) { session(state, openOffice, true, 900000); }
-void sessionLent(benchmark::State& state) { session(state, openOffice, true, 900000, zones::Dividing::lent); }
+void sessionAcross(benchmark::State& state) { session(state, makeController, true); }
+void sessionBudget(benchmark::State& state) { session(state, makeController, true, 900000); }
+void sessionLent(benchmark::State& state) { session(state, makeController, true, 900000, zones::Dividing::lent); }
 
 void memoryStanding(benchmark::State& state) {
   for (auto _ : state) {
-    auto bench = std::make_unique<Bench>(6, openOffice);
+    auto bench = std::make_unique<Bench>(6, makeController);
     // Both far ends keep state too; what they keep is measured the same way and taken off by halves.
     const std::size_t before = ::mallinfo2().uordblks;
     const std::size_t callsBefore = bench->callers.endpoint.calls() + bench->far.endpoint.calls();
@@ -231,7 +231,7 @@
   e.calledContext = "status-check";
   e.session = 1u;
   e.timeLeft = 9000u;
-  const auto wire = iax2::encode(iax2::Head(), e);
+  const auto wire = iax2::encode(iax2::FrameHeader(), e);
   iax2::Frame frame;
   for (auto _ : state) benchmark::DoNotOptimize(iax2::decode(wire, frame));
 }
@@ -242,7 +242,7 @@
   e.calledContext = "status-check";
   e.session = 1u;
   e.timeLeft = 9000u;
-  for (auto _ : state) benchmark::DoNotOptimize(iax2::encode(iax2::Head(), e));
+  for (auto _ : state) benchmark::DoNotOptimize(iax2::encode(iax2::FrameHeader(), e));
 }
 
 /// The datagrams of one session by themselves: seven in and seven out of about that size, through two real ports of one
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -29,24 +29,24 @@
   }
 
  private:
-  static void add(std::map<std::uint64_t, Sums>& level, std::uint64_t number, std::size_t room) {
+  static void add(std::map<std::uint64_t, UsageTotals>& level, std::uint64_t number, std::size_t room) {
     ++level[number].invites;
     if (level.size() > room) level.erase(level.begin());
   }
-  std::map<std::uint64_t, Sums> seconds_, minutes_, hours_;
-  Sums total_;
+  std::map<std::uint64_t, UsageTotals> seconds_, minutes_, hours_;
+  UsageTotals total_;
 };
 
 constexpr double kEveryMs = 7;  // an INVITE: some 140 a second in one cell
 
 void accountRing(benchmark::State& state) {
-  Cell cell;
+  UsageCell cell;
   Instant now = Instant::ms(1000);
   for (auto _ : state) {
     now = now + Span::ms(kEveryMs);
     cell.invited(now, 0);
   }
-  state.counters["bytes"] = sizeof(Cell);
+  state.counters["bytes"] = sizeof(UsageCell);
 }
 
 void accountMap(benchmark::State& state) {
@@ -131,10 +131,10 @@
         day.loss = day.twice = day.late = 0.1;
         std::vector<int> half;
         for (int i = 0; i < offices / 2; ++i) half.push_back(i);
-        day.troubles = {{Kind::kill, Span::ms(60000), Span::ms(3000), half, 0},
-                        {Kind::part, Span::ms(100000), Span::ms(60000), half, 0},
-                        {Kind::freeze, Span::ms(180000), Span::ms(20000), {0, 1}, 0},
-                        {Kind::budget, Span::ms(220000), Span::ms(3000), {}, day.circuits / 3}};
+        day.faults = {{Kind::kill, Span::ms(60000), Span::ms(3000), half, 0},
+                      {Kind::part, Span::ms(100000), Span::ms(60000), half, 0},
+                      {Kind::freeze, Span::ms(180000), Span::ms(20000), {0, 1}, 0},
+                      {Kind::budget, Span::ms(220000), Span::ms(3000), {}, day.circuits / 3}};
       }
       const model::ZoneResult result = model::play(day);
       refused += static_cast<double>(result.refused);
--- a/include/thistlefold/exchange.hpp
+++ b/include/thistlefold/exchange.hpp
@@ -18,9 +18,9 @@
 };
 
 /// What an office usually dials.
-struct Usual {
-  double each = -1;  // sessions in a tip window, to all exchanges; below zero: not known
-  double there = 0;  // of them to one exchange
+struct UsualDemand {
+  double perWindow = -1;  // sessions in a tip window, to all exchanges; below zero: not known
+  double toExchange = 0;  // of them to one exchange
 };
 
 /// What this office has seen of one exchange. Plain state: only the module reads or changes it, but for
@@ -31,21 +31,21 @@
 
   Readiness readiness = Readiness::gone;
   Instant started = Instant::longAgo();
-  Usual usual;  // when it started; not known where this office had not run for long enough
+  UsualDemand usualDemand;  // when it started; not known where this office had not run for long enough
 
   double freeCircuits = 0;                              // of the group between here and there
   double circuits = -1;                                 // below zero: not told yet
   std::unordered_map<const Exchange*, FarLeg> farLegs;  // by destination; looked up, never walked
 
-  Samples<bool, 12> answered;              // outcomes as a destination: answered in any way, or not
-  Samples<bool, 12> relayed;               // outcomes as a tandem
-  Instant doubtedAt = Instant::longAgo();  // a direct session went unanswered or was cut, none was answered since
-  Samples<Span, 8> postDialDelays;         // of sessions that stood
-  Samples<double, 16> canTake;             // set-ups a second that its processor said it can take
-  Samples<Instant, 128> sent;              // INVITEs that went to or through it
-  std::vector<const Session*> ringing;     // INVITEs out, oldest first
-  Instant heldUntil = Instant::longAgo();
-  Instant lastTrial = Instant::longAgo();
+  Samples<bool, 12> directOutcomes;            // outcomes as a destination: answered in any way, or not
+  Samples<bool, 12> tandemOutcomes;            // outcomes as a tandem
+  Instant suspectedAt = Instant::longAgo();    // a direct session went unanswered or was cut, none was answered since
+  Samples<Span, 8> postDialDelays;             // of sessions that stood
+  Samples<double, 16> reportedCapacity;        // set-ups a second that its processor said it can take
+  Samples<Instant, 128> inviteTimes;           // INVITEs that went to or through it
+  std::vector<const Session*> pendingInvites;  // INVITEs out, oldest first
+  Instant blockedUntil = Instant::longAgo();
+  Instant lastProbe = Instant::longAgo();
 };
 
 }  // namespace thistlefold
--- a/include/thistlefold/office_config.hpp
+++ b/include/thistlefold/office_config.hpp
@@ -18,21 +18,21 @@
 };
 
 /// What one office is told when it is put into service.
-struct OfficeData {
+struct OfficeConfig {
   std::vector<Service> services;
   bool pools = false;
-  int offices = 0;  // of the whole fleet; none: not told
+  int fleetSize = 0;  // of the whole fleet; none: not told
   int maxInvites = 1;
   bool mustSubscribe = false;  // the directory tells only those who asked
-  Span askWithin;
-  bool takesRetryAfter = false;
+  Span listStaleAfter;
+  bool honoursRetryAfter = false;
   Span longestRetryAfter;
-  Span clearWait;
-  Span repeatAfter;  // a set-up that waits is repeated after this; none: never
-  double coldFrom = 0;
-  Span warmAfter;
-  double fallMultiple = 0;
-  Span tipAfter;
+  Span releaseTime;
+  Span retransmitAfter;  // a set-up that waits is repeated after this; none: never
+  double coldCapacityShare = 0;
+  Span warmUpTime;
+  double overloadFactor = 0;
+  Span overloadWindow;
 };
 
 }  // namespace thistlefold
--- a/include/thistlefold/session.hpp
+++ b/include/thistlefold/session.hpp
@@ -20,15 +20,15 @@
   bool transit = false;
   bool wasCut = false;
 
-  Instant dialled;     // when the first try for it came
-  Instant due;         // when it is to be looked at next
-  double lot = 0;      // drawn once, from 0 to below 1
-  bool taken = false;  // told of; a second telling changes nothing
-  bool over = false;
-  bool standing = false;
-  bool mayHaveRun = false;
+  Instant firstDialledAt;    // when the first try for it came
+  Instant nextDecisionAt;    // when it is to be looked at next
+  double admissionDraw = 0;  // drawn once, from 0 to below 1
+  bool received = false;     // told of; a second telling changes nothing
+  bool finished = false;
+  bool established = false;
+  bool mayHaveExecuted = false;
   int invites = 0;
-  Exchange* ringingAt = nullptr;
+  Exchange* pendingAt = nullptr;
   Instant sentAt;
   std::vector<const Exchange*> tried;
 };
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -61,14 +61,14 @@
   bool stood = false;
   int answerSeq = -1;  // of the ANSWER that arrived, heard or not
   Instant overAt;
-  Crossed* crossed = nullptr;
+  ZoneLegCounts* crossed = nullptr;
   std::pair<std::string, std::string> pair;  // zones
   int width = 0;
 };
 
 /// A leg that crossed zones, for what becomes of its sender's account. Lives count the starts of an office.
 struct CrossedLeg {
-  Crossing crossing;
+  ZoneLeg crossing;
   int from, life;
   int to, toLife = -1;    // -1: it reached nobody
   bool stood = false;     // heard by the sender
@@ -77,7 +77,7 @@
 
 class Audit {
  public:
-  Audit(const Fleet& fleet, Slack slack) : fleet_(fleet), slack_(slack) {
+  Audit(const Fleet& fleet, Tolerance tolerance) : fleet_(fleet), tolerance_(tolerance) {
     for (std::size_t i = 0; i < fleet.places.size(); ++i) {
       officeOf_[fleet.places[i].office] = static_cast<int>(i);
       processorOf_[fleet.places[i].processor] = static_cast<int>(i);
@@ -99,7 +99,7 @@
       return;
     }
     Frame frame;
-    if (iax2::decode(packet.payload, frame) != iax2::Reading::full) return;
+    if (iax2::decode(packet.payload, frame) != iax2::DecodeResult::full) return;
     const auto from = officeOf_.find(packet.from);
     const auto to = officeOf_.find(packet.to);
     const auto processor = processorOf_.find(packet.to);
@@ -125,12 +125,12 @@
         ++found_.unaccounted;
         continue;
       }
-      Crossed& sums = found_.remembered[leg.crossing];
+      ZoneLegCounts& sums = found_.remembered[leg.crossing];
       ++sums.invites;
       sums.stood += own ? leg.stood : leg.answered;
     }
-    std::stable_sort(found_.breaches.begin(), found_.breaches.end(),
-                     [](const Breach& a, const Breach& b) { return a.atMs < b.atMs; });
+    std::stable_sort(found_.violations.begin(), found_.violations.end(),
+                     [](const Violation& a, const Violation& b) { return a.atMs < b.atMs; });
     return std::move(found_);
   }
 
@@ -141,11 +141,11 @@
     Instant since;
   };
 
-  void breach(int rule, std::uint64_t session, std::string text) {
+  void violation(int rule, std::uint64_t session, std::string text) {
     ++found_.broken[rule];
     // So many tell what is wrong; the counts go on.
-    if (found_.breaches.size() < 100) {
-      found_.breaches.push_back({rule, session, (now_ - begin_).ms(), std::move(text)});
+    if (found_.violations.size() < 100) {
+      found_.violations.push_back({rule, session, (now_ - begin_).ms(), std::move(text)});
     }
   }
   const std::string& name(int place) const { return fleet_.places[static_cast<std::size_t>(place)].name; }
@@ -206,7 +206,7 @@
     const CallKey key{packet.from, packet.to, frame.source};
     if (frame.is(Iax::NEW)) {
       const auto known = tries_.find(key);
-      if (known != tries_.end() && (frame.again || known->second.bytesHash == hash(packet))) {
+      if (known != tries_.end() && (frame.retransmitted || known->second.bytesHash == hash(packet))) {
         if (packet.delivered && known->second.delivered == Instant::never()) arrived(known->second);
         return;
       }
@@ -247,7 +247,7 @@
     if (one.officeNumber != frame.source || one.closed) return;
     if (frame.elements.session) one.session = *frame.elements.session;
     const bool unsequenced = frame.is(Iax::ACK) || frame.is(Iax::INVAL) || frame.is(Iax::VNAK);
-    if (unsequenced || frame.again || frame.oseq == one.finalSeq) return;
+    if (unsequenced || frame.retransmitted || frame.oseq == one.finalSeq) return;
     const bool answer = frame.is(iax2::Control::answer);
     const bool no = frame.is(Iax::REJECT) || frame.is(Iax::HANGUP);
     if (one.finalAt != Instant::never()) {
@@ -256,23 +256,23 @@
         return;
       }
       if (frame.is(Iax::PING) || frame.is(Iax::PONG) || frame.is(Iax::LAGRP)) return;
-      return breach(1, one.session,
-                    "office " + name(office) + " sent " + iax2::name(frame) + " after its final answer");
+      return violation(1, one.session,
+                       "office " + name(office) + " sent " + iax2::name(frame) + " after its final answer");
     }
     if (!answer && !no) return;
     if (one.leftAt != Instant::never()) {  // it crossed the caller's own end
-      one.crossed = now_ <= one.deadline + slack_.answer;
+      one.crossed = now_ <= one.deadline + tolerance_.answer;
       return;
     }
     one.finalAt = now_;
     one.finalSeq = frame.oseq;
     one.stood = answer;
     if (one.session != 0) answered_.insert({office, one.session});
-    if (now_ > one.deadline + slack_.answer &&
+    if (now_ > one.deadline + tolerance_.answer &&
         !within(frozen_[static_cast<std::size_t>(office)], one.delivered, now_)) {
-      breach(1, one.session,
-             "office " + name(office) + " gave its final answer " +
-                 std::to_string(static_cast<long>((now_ - one.deadline).ms())) + " ms after the caller's limit");
+      violation(1, one.session,
+                "office " + name(office) + " gave its final answer " +
+                    std::to_string(static_cast<long>((now_ - one.deadline).ms())) + " ms after the caller's limit");
     }
   }
 
@@ -294,22 +294,22 @@
       ++found_.officeDown;
       return;
     }
-    if (within(frozen_[at], one.delivered, one.deadline + slack_.answer)) {
+    if (within(frozen_[at], one.delivered, one.deadline + tolerance_.answer)) {
       ++found_.officeDown;  // it stood still when the answer was due
       return;
     }
     // A caller may leave when it likes; one that held out to its limit was owed an answer, unless the network kept
     // its NEW back for so long that the office had to count with a later limit.
-    const bool early = one.leftAt < one.sent + one.limit - slack_.stamp;
+    const bool early = one.leftAt < one.sent + one.limit - tolerance_.stamp;
     const bool late = one.delivered - one.sent > kLateNew;
     if (one.leftAt != Instant::never() && (early || late || one.crossed)) {
       ++found_.callerLeft;
       return;
     }
     ++found_.unanswered;
-    breach(1, one.session,
-           "office " + name(one.office) + " gave no final answer to a try that reached it " +
-               std::to_string(static_cast<long>((one.delivered - begin_).ms())) + " ms into the day");
+    violation(1, one.session,
+              "office " + name(one.office) + " gave no final answer to a try that reached it " +
+                  std::to_string(static_cast<long>((one.delivered - begin_).ms())) + " ms into the day");
   }
 
   static std::uint64_t hash(const Packet& packet) {
@@ -360,7 +360,7 @@
       end(from, packet.to, frame.source, true);
     }
     if (packet.delivered && (bye || frame.is(Iax::INVAL))) {
-      end(to, packet.from, frame.destination, frame.is(Iax::INVAL) || frame.elements.why == iax2::Why::reset);
+      end(to, packet.from, frame.destination, frame.is(Iax::INVAL) || frame.elements.why == iax2::ReleaseReason::reset);
     }
     if (packet.delivered && answer) {
       if (Invite* one = find(to, packet.from, frame.destination)) one->answerSeq = frame.oseq;
@@ -377,16 +377,17 @@
     if (frame.elements.towards && *frame.elements.towards != to) ++found_.twoLeg;
     for (const Invite& earlier : all) {
       if (!earlier.over) {
-        breach(2, session, "office " + name(from) + " sent an INVITE to " + name(to) + " while another was out");
-      } else if (earlier.mayBeHeld && !earlier.stood && now_ - earlier.overAt + slack_.stamp < fleet_.data.clearWait) {
-        breach(5, session,
-               "office " + name(from) + " sent the session again " +
-                   std::to_string(static_cast<long>((now_ - earlier.overAt).ms())) +
-                   " ms after an INVITE that was given up or reset");
+        violation(2, session, "office " + name(from) + " sent an INVITE to " + name(to) + " while another was out");
+      } else if (earlier.mayBeHeld && !earlier.stood &&
+                 now_ - earlier.overAt + tolerance_.stamp < fleet_.data.releaseTime) {
+        violation(5, session,
+                  "office " + name(from) + " sent the session again " +
+                      std::to_string(static_cast<long>((now_ - earlier.overAt).ms())) +
+                      " ms after an INVITE that was given up or reset");
       }
     }
     if (answered_.contains({from, session})) {
-      breach(1, session, "office " + name(from) + " sent an INVITE for a session that it had answered");
+      violation(1, session, "office " + name(from) + " sent an INVITE for a session that it had answered");
     }
     Invite one;
     one.to = packet.to;
@@ -425,27 +426,27 @@
     return it == legOf_.end() ? nullptr : &legs_[it->second];
   }
 
-  std::optional<Crossing> crossing(const Frame& frame, int from, int to) const {
+  std::optional<ZoneLeg> crossing(const Frame& frame, int from, int to) const {
     const Place& here = fleet_.places[static_cast<std::size_t>(from)];
     const Place& there = fleet_.places[static_cast<std::size_t>(to)];
     if (here.zone == there.zone || !frame.elements.towards) return std::nullopt;
     // Whose session it is stands in its number's highest bits: a leg of another office's session is a second one.
     const bool own = *frame.elements.session >> 52 == static_cast<std::uint64_t>(from + 1);
     const char* part = !own ? "second" : *frame.elements.towards == to ? "direct" : "first";
-    return Crossing{here.zone, there.zone, std::string(frame.elements.calledContext), part};
+    return ZoneLeg{here.zone, there.zone, std::string(frame.elements.calledContext), part};
   }
 
   void checkTold(int office, int place, std::uint64_t session) {
     const Told& told = told_[static_cast<std::size_t>(office)][static_cast<std::size_t>(place)];
-    if (!told.known || told.ready || now_ - told.since <= fleet_.drainGrace + slack_.stamp) return;
+    if (!told.known || told.ready || now_ - told.since <= fleet_.drainGrace + tolerance_.stamp) return;
     // What waited for a frozen office was not told to it yet.
     for (const auto& [from, to] : frozen_[static_cast<std::size_t>(office)]) {
-      if (told.since >= from && told.since <= to && now_ <= to + slack_.stamp) return;
+      if (told.since >= from && told.since <= to && now_ <= to + tolerance_.stamp) return;
     }
-    breach(3, session,
-           "office " + name(office) + " sent to " + name(place) + " " +
-               std::to_string(static_cast<long>((now_ - told.since).ms())) +
-               " ms after it was told that the exchange drains or is gone");
+    violation(3, session,
+              "office " + name(office) + " sent to " + name(place) + " " +
+                  std::to_string(static_cast<long>((now_ - told.since).ms())) +
+                  " ms after it was told that the exchange drains or is gone");
   }
 
   Invite* find(int office, Address to, std::uint16_t number) {
@@ -511,19 +512,20 @@
     Cold& cold = cold_[static_cast<std::size_t>(place)];
     if (cold.started == Instant::never()) return;
     const Span age = now_ - cold.started;
-    if (age >= fleet_.data.warmAfter) return;
+    if (age >= fleet_.data.warmUpTime) return;
     if (!cold.seen.emplace(std::pair(packet.from, frame.source), hash(packet)).second) return;
     cold.sent.push_back(now_);
-    while (now_ - cold.sent.front() > fleet_.data.tipAfter) cold.sent.pop_front();
-    const double share = fleet_.data.coldFrom + (1 - fleet_.data.coldFrom) * (age / fleet_.data.warmAfter);
+    while (now_ - cold.sent.front() > fleet_.data.overloadWindow) cold.sent.pop_front();
+    const double share =
+        fleet_.data.coldCapacityShare + (1 - fleet_.data.coldCapacityShare) * (age / fleet_.data.warmUpTime);
     const double canDo =
-        fleet_.places[static_cast<std::size_t>(place)].setUpsASecond * share * fleet_.data.tipAfter.ms() / 1000;
-    const double used = static_cast<double>(cold.sent.size()) / (fleet_.data.fallMultiple * canDo);
+        fleet_.places[static_cast<std::size_t>(place)].setUpsASecond * share * fleet_.data.overloadWindow.ms() / 1000;
+    const double used = static_cast<double>(cold.sent.size()) / (fleet_.data.overloadFactor * canDo);
     found_.nearestToCold = std::max(found_.nearestToCold, used);
     if (used > 1) {
-      breach(4, frame.elements.session.value_or(0),
-             "the cold exchange " + name(place) + " got " + std::to_string(cold.sent.size()) + " set-ups in " +
-                 std::to_string(static_cast<long>(fleet_.data.tipAfter.ms())) + " ms");
+      violation(4, frame.elements.session.value_or(0),
+                "the cold exchange " + name(place) + " got " + std::to_string(cold.sent.size()) + " set-ups in " +
+                    std::to_string(static_cast<long>(fleet_.data.overloadWindow.ms())) + " ms");
     }
   }
 
@@ -534,7 +536,7 @@
   };
 
   const Fleet& fleet_;
-  Slack slack_;
+  Tolerance tolerance_;
   Findings found_;
   Instant begin_ = Instant::never();
   Instant now_;
@@ -559,8 +561,8 @@
 
 }  // namespace
 
-Findings audit(const Fleet& fleet, const std::string& capturePath, Slack slack) {
-  Audit audit(fleet, slack);
+Findings audit(const Fleet& fleet, const std::string& capturePath, Tolerance tolerance) {
+  Audit audit(fleet, tolerance);
   capture::read(capturePath, [&](const Packet& packet) { audit.take(packet); });
   return audit.finish();
 }
@@ -587,7 +589,7 @@
     out << "rule " << rule << "  " << std::left << std::setw(30) << kRules[rule]
         << (f.broken[rule] == 0 ? "kept" : "BROKEN " + std::to_string(f.broken[rule]) + " times") << '\n';
   }
-  for (const Breach& one : f.breaches) {
+  for (const Violation& one : f.violations) {
     out << std::right << std::setw(9) << std::setprecision(3) << one.atMs / 1000 << " s  rule " << one.rule
         << "  session " << std::hex << one.session << std::dec << "  " << one.text << '\n';
   }
@@ -596,11 +598,11 @@
 
 std::string json(const Findings& f) {
   namespace json = boost::json;
-  json::array breaches;
-  for (const Breach& one : f.breaches) {
+  json::array violations;
+  for (const Violation& one : f.violations) {
     std::ostringstream session;
     session << std::hex << one.session;  // too long for a number in JSON
-    breaches.push_back(
+    violations.push_back(
         json::object{{"rule", one.rule}, {"session", session.str()}, {"at_ms", one.atMs}, {"what", one.text}});
   }
   json::object out{{"tries", f.tries},
@@ -616,7 +618,7 @@
                    {"nearest_to_cold", f.nearestToCold},
                    {"kept", f.kept()},
                    {"broken", json::array{f.broken[1], f.broken[2], f.broken[3], f.broken[4], f.broken[5]}},
-                   {"breaches", std::move(breaches)}};
+                   {"breaches", std::move(violations)}};
   return json::serialize(out);
 }
 
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -11,7 +11,7 @@
 
 namespace thistlefold::audit {
 
-struct Breach {
+struct Violation {
   int rule = 0;  // 1 to 5
   std::uint64_t session = 0;
   double atMs = 0;  // of the day
@@ -19,25 +19,25 @@
 };
 
 /// Legs between two zones as the capture shows them: how many INVITEs of each kind were sent, how many stood.
-struct Crossing {
+struct ZoneLeg {
   std::string from, to, service, part;
-  friend auto operator<=>(const Crossing&, const Crossing&) = default;
+  friend auto operator<=>(const ZoneLeg&, const ZoneLeg&) = default;
 };
-struct Crossed {
+struct ZoneLegCounts {
   std::uint64_t invites = 0, stood = 0;
-  friend bool operator==(const Crossed&, const Crossed&) = default;
+  friend bool operator==(const ZoneLegCounts&, const ZoneLegCounts&) = default;
 };
 
 struct Findings {
-  std::map<Crossing, Crossed> crossed;
+  std::map<ZoneLeg, ZoneLegCounts> crossed;
   /// Of these, what running offices can still account for at the end: all of their own, and of one that was killed
   /// what reached offices that still run. `unaccounted` INVITEs of killed offices are in nobody's account.
-  std::map<Crossing, Crossed> remembered;
+  std::map<ZoneLeg, ZoneLegCounts> remembered;
   std::uint64_t unaccounted = 0;
   /// Circuits out by ordered pair of zones, at each change.
   std::map<std::pair<std::string, std::string>, std::vector<std::pair<Instant, int>>> out;
   std::map<std::pair<std::string, std::string>, int> peaks;  // most circuits out at once, by ordered pair of zones
-  std::vector<Breach> breaches;                              // the first hundred, in order of time
+  std::vector<Violation> violations;                         // the first hundred, in order of time
   std::uint64_t broken[6] = {};                              // by rule
   // Tries of callers that reached an office, by how they were answered.
   std::uint64_t tries = 0, stood = 0, refused = 0, callerLeft = 0, officeDown = 0, unanswered = 0, unreached = 0;
@@ -53,16 +53,16 @@
 /// relay stamps what is sent and delivered, so that two frames of one office lie a few scheduling slices further apart
 /// or closer together than it meant them, and an office that is busy answers a little after the limit that it counts
 /// from its own receipt. On a virtual clock they would hide breaches.
-struct Slack {
+struct Tolerance {
   Span stamp = Span::ms(15);
   Span answer = Span::ms(100);
 };
 /// The shortest alarm of the module is a millisecond, so a session whose limit lies between two is answered at the
 /// later.
-inline constexpr Slack kVirtualSlack{Span::none(), Span::ms(1)};
+inline constexpr Tolerance kVirtualTolerance{Span::none(), Span::ms(1)};
 
 /// Throws std::runtime_error where the capture can't be read.
-Findings audit(const Fleet& fleet, const std::string& capturePath, Slack slack = {});
+Findings audit(const Fleet& fleet, const std::string& capturePath, Tolerance tolerance = {});
 
 std::string describe(const Findings& findings);
 std::string json(const Findings& findings);
--- a/src/audit/session_trace.cpp
+++ b/src/audit/session_trace.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::size_t ladder(const Fleet& fleet, const std::string& capturePath, std::uint64_t session, std::ostream& out) {
+std::size_t sessionTrace(const Fleet& fleet, const std::string& capturePath, std::uint64_t session, std::ostream& out) {
   // First the call numbers that frames of this session name, then all frames of these calls. A NEW has no number of
   // the other end yet.
   std::set<CallKey> calls;
@@ -41,7 +41,7 @@
     capture::read(capturePath, [&](const capture::Packet& packet) {
       if (begin == Instant::never()) begin = packet.at;
       iax2::Frame frame;
-      if (packet.from == capture::kScript || iax2::decode(packet.payload, frame) != iax2::Reading::full) return;
+      if (packet.from == capture::kScript || iax2::decode(packet.payload, frame) != iax2::DecodeResult::full) return;
       each(packet, frame, begin);
     });
   };
@@ -62,7 +62,8 @@
     out << std::fixed << std::setprecision(3) << std::setw(9) << (packet.at - begin).ms() / 1000 << ' '
         << (packet.delivered ? "got " : "sent") << ' ' << nameOf(fleet, packet.from) << " -> "
         << nameOf(fleet, packet.to) << "  " << frame.source << "/" << frame.destination << "  " << name(frame) << " o"
-        << static_cast<int>(frame.oseq) << " i" << static_cast<int>(frame.iseq) << (frame.again ? " again" : "");
+        << static_cast<int>(frame.oseq) << " i" << static_cast<int>(frame.iseq)
+        << (frame.retransmitted ? " again" : "");
     if (frame.elements.causeCode) out << " cause " << static_cast<int>(*frame.elements.causeCode);
     if (frame.elements.why) out << " why " << static_cast<int>(*frame.elements.why);
     out << '\n';
@@ -75,7 +76,7 @@
   std::set<std::uint64_t> known;
   capture::read(capturePath, [&](const capture::Packet& packet) {
     iax2::Frame frame;
-    if (iax2::decode(packet.payload, frame) != iax2::Reading::full || !frame.elements.session) return;
+    if (iax2::decode(packet.payload, frame) != iax2::DecodeResult::full || !frame.elements.session) return;
     if (known.insert(*frame.elements.session).second) all.push_back(*frame.elements.session);
   });
   return all;
--- a/src/bench_adapter/bench_adapter.cpp
+++ b/src/bench_adapter/bench_adapter.cpp
@@ -21,7 +21,7 @@
 #include "wire/fields.hpp"
 #include "wire/office_config.hpp"
 
-namespace thistlefold::drill {
+namespace thistlefold::bench_adapter {
 namespace {
 
 using namespace wire;
@@ -39,7 +39,7 @@
 };
 
 /// Writes one office's actions into the reply.
-class Sender final : public Writer {
+class Sender final : public DecisionSink {
  public:
   Sender(Json& json, const std::string& instance) : json_(json), instance_(instance) {}
 
@@ -50,18 +50,18 @@
     milliseconds("GiveUpAfter", giveUpAfter);
     close();
   }
-  void busy(const Session& session, Span retryAfter) override {
+  void rejectBusy(const Session& session, Span retryAfter) override {
     open("BUSY");
     ticket(session);
     milliseconds("RetryAfter", retryAfter);
     close();
   }
-  void surrender(const Session& session) override {
+  void failUncertain(const Session& session) override {
     open("SURRENDER");
     ticket(session);
     close();
   }
-  void wakeIn(Span delay) override {
+  void scheduleWakeUp(Span delay) override {
     open("SET_ALARM");
     milliseconds("In", delay);
     field("Nonce", "wake");
@@ -109,21 +109,21 @@
 };
 
 /// One office: its controller, and what its ids stand for.
-class Office final : public Arrivals {
+class Office final : public RoundEvents {
  public:
   explicit Office(const Value& start)
-      : data_(readStart(object(start, "Conf"))), roster_(data_.pools ? -1 : placeHere(object(start, "Conf"))) {
-    const Value& seed = need(start, "InitSeed");
-    if (!seed.IsUint64() && !seed.IsInt64()) wrong("InitSeed", "a whole number is wanted");
+      : data_(readOfficeConfig(object(start, "Conf"))), registry_(data_.pools ? -1 : ownPlace(object(start, "Conf"))) {
+    const Value& seed = requireField(start, "InitSeed");
+    if (!seed.IsUint64() && !seed.IsInt64()) failField("InitSeed", "a whole number is wanted");
     const std::uint64_t from = seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
-    controller_ = openOffice(data_, from);
+    controller_ = makeController(data_, from);
   }
 
-  void play(Instant now, const std::vector<Event>& events, Writer& writer) {
+  void play(Instant now, const std::vector<Event>& events, DecisionSink& sink) {
     events_ = &events;
-    controller_->round(now, *this, writer);
+    controller_->round(now, *this, sink);
     std::erase_if(sessions_,
-                  [](const auto& entry) { return entry.second->over && entry.second->ringingAt == nullptr; });
+                  [](const auto& entry) { return entry.second->finished && entry.second->pendingAt == nullptr; });
   }
 
   void deliver(Controller&) override {
@@ -132,14 +132,14 @@
       if (event.name == "INCOMING") {
         incoming(fields);
       } else if (event.name == "ACCEPTED") {
-        if (Session* session = ofLastInvite(fields)) controller_->accepted(*session, span(fields, "Lag"));
+        if (Session* session = ofLastInvite(fields)) controller_->inviteAccepted(*session, span(fields, "Lag"));
       } else if (event.name == "ENDED") {
         ended(fields);
       } else if (event.name == "ABANDONED") {
         const auto it = sessions_.find(std::string(name(fields, "Ticket")));
-        if (it != sessions_.end()) controller_->abandoned(*it->second);
+        if (it != sessions_.end()) controller_->sessionAbandoned(*it->second);
       } else if (event.name == "ECHO") {
-        feedback(roster_.exchange(exchangeId(fields)), object(fields, "Feedback"));
+        feedback(registry_.exchange(exchangeId(fields)), object(fields, "Feedback"));
       } else if (event.name == "MEMBERS") {
         members(fields, event.list.get());
       }  // TICK_DUE: the round itself is what was asked for. MESSAGE: offices tell each other nothing.
@@ -167,9 +167,9 @@
 
   void feedback(Exchange& exchange, const Value& values) {
     const double size = number(values, "size", -1);
-    if (size >= 0) controller_->circuits(exchange, number(values, "free", 0), size);
+    if (size >= 0) controller_->circuitsChanged(exchange, number(values, "free", 0), size);
     const double canTake = number(values, "can_take", -1);
-    if (canTake >= 0) controller_->reported(exchange, canTake);
+    if (canTake >= 0) controller_->capacityReported(exchange, canTake);
   }
 
   void incoming(const Value& fields) {
@@ -177,25 +177,25 @@
     session->ticket = name(fields, "Ticket");
     const int category = integer(fields, "Category", 0);
     if (category < 0 || category >= static_cast<int>(data_.services.size())) {
-      wrong("Category", "no such service");
+      failField("Category", "no such service");
     }
     session->service = &data_.services[static_cast<std::size_t>(category)];
     session->width = number(fields, "Width", 1);
-    session->destination = roster_.at(number(fields, "FarEnd", -1));
+    session->destination = registry_.at(number(fields, "FarEnd", -1));
     const int bits = integer(fields, "Bits", 0);
     session->transit = (bits & 8) != 0;
     session->wasCut = (bits & 16) != 0;
     session->timerLimit = Instant::ms(number(fields, "Deadline"));
     const std::string_view item = name(fields, "Item", "0");
     const auto read = std::from_chars(item.data(), item.data() + item.size(), session->dialledNumber, 16);
-    if (read.ec != std::errc()) wrong("Item", "hex digits are wanted");
+    if (read.ec != std::errc()) failField("Item", "hex digits are wanted");
     TicketedSession& kept = *session;
-    if (sessions_.emplace(kept.ticket, std::move(session)).second) return controller_->incoming(kept);
+    if (sessions_.emplace(kept.ticket, std::move(session)).second) return controller_->sessionArrived(kept);
     std::cerr << "thistlefold_bench_adapter: told of twice: " << name(fields, "Ticket") << '\n';
   }
 
   void ended(const Value& fields) {
-    ListedExchange* at = roster_.known(exchangeId(fields));
+    ListedExchange* at = registry_.known(exchangeId(fields));
     Session* session = ofLastInvite(fields);
     if (session == nullptr) return;
     if (at == nullptr) {
@@ -206,60 +206,61 @@
     const int note = integer(fields, "Note", 0);
     const int reason = note & 15;
     const int beyond = note >> 4;
-    controller_->ended(*session, *at, ending(integer(fields, "Ending", 0)),
-                       reason <= 4 ? static_cast<Reason>(reason) : Reason::none, reason == 2 && beyond == 1,
-                       reason == 3 ? Span::ms(beyond) : Span::none(), mark(fields, "Final"));
+    controller_->inviteEnded(*session, *at, ending(integer(fields, "Ending", 0)),
+                             reason <= 4 ? static_cast<BlockingReason>(reason) : BlockingReason::none,
+                             reason == 2 && beyond == 1, reason == 3 ? Span::ms(beyond) : Span::none(),
+                             flag(fields, "Final"));
   }
 
-  static Ending ending(int code) {
+  static InviteOutcome ending(int code) {
     switch (code) {
       case 0:
-        return Ending::ok;
+        return InviteOutcome::released;
       case 1:
-        return Ending::cancelled;
+        return InviteOutcome::cancelled;
       case 4:
-        return Ending::timedOut;
+        return InviteOutcome::timedOut;
       case 8:
-        return Ending::full;
+        return InviteOutcome::overloaded;
       case 9:
-        return Ending::moot;
+        return InviteOutcome::notSent;
       case 10:
-        return Ending::reset;
+        return InviteOutcome::reset;
       case 13:
-        return Ending::fault;
+        return InviteOutcome::failed;
       case 14:
-        return Ending::unreachable;
+        return InviteOutcome::unreachable;
       default:
-        wrong("Ending", "no such outcome");
+        failField("Ending", "no such outcome");
     }
   }
 
   void members(const Value& fields, const rapidjson::Document* list) {
     const int mode = integer(fields, "Mode");
-    if (mode < 0 || mode > 3) wrong("Mode", "no such kind of list");
+    if (mode < 0 || mode > 3) failField("Mode", "no such kind of list");
     if (mode == 3) {
       controller_->listFailed();
       return;
     }
-    if (list == nullptr) wrong("Bank", "no such list");
-    std::vector<Listing> lines;
+    if (list == nullptr) failField("Bank", "no such list");
+    std::vector<ListEntry> lines;
     for (const Value& entry : list->GetArray()) {
-      Listing line;
+      ListEntry line;
       line.id = exchangeId(entry);
       line.placed = find(entry, "PlaceNo") != nullptr;
       line.place = integer(entry, "PlaceNo", -1);
       const int readiness = integer(entry, "Readiness");
-      if (readiness != 2 && readiness != 0 && readiness != 3) wrong("Readiness", "no such state");
+      if (readiness != 2 && readiness != 0 && readiness != 3) failField("Readiness", "no such state");
       line.readiness = readiness == 2 ? Readiness::ready : readiness == 0 ? Readiness::draining : Readiness::gone;
       const double started = number(entry, "LastStart", 0);
       if (started > 0) line.started = Instant::ms(started);
       lines.push_back(line);
     }
-    roster_.list(*controller_, lines, mode != 0);
+    registry_.list(*controller_, lines, mode != 0);
   }
 
-  OfficeData data_;
-  Roster roster_;
+  OfficeConfig data_;
+  ExchangeRegistry registry_;
   std::unordered_map<std::string, std::unique_ptr<TicketedSession>> sessions_;
   const std::vector<Event>* events_ = nullptr;  // of the batch that is being answered
   std::unique_ptr<Controller> controller_;
@@ -267,30 +268,30 @@
 
 }  // namespace
 
-struct Drill::State {
+struct BenchAdapter::State {
   std::map<std::string, std::unique_ptr<Office>, std::less<>> offices;
   std::map<int, std::shared_ptr<const rapidjson::Document>> lists;
 };
 
-Drill::Drill() : state_(std::make_unique<State>()) {}
-Drill::~Drill() = default;
+BenchAdapter::BenchAdapter() : state_(std::make_unique<State>()) {}
+BenchAdapter::~BenchAdapter() = default;
 
-std::string Drill::answer(const std::string& line) {
+std::string BenchAdapter::answer(const std::string& line) {
   rapidjson::Document batch;
   batch.Parse<rapidjson::kParseFullPrecisionFlag>(line.data(), line.size());
   if (batch.HasParseError()) {
-    throw WireFault(std::string(rapidjson::GetParseError_En(batch.GetParseError())) + " at offset " +
-                    std::to_string(batch.GetErrorOffset()));
+    throw ParseError(std::string(rapidjson::GetParseError_En(batch.GetParseError())) + " at offset " +
+                     std::to_string(batch.GetErrorOffset()));
   }
-  if (!batch.IsObject()) throw WireFault("an object is wanted at offset 0");
+  if (!batch.IsObject()) throw ParseError("an object is wanted at offset 0");
   const Instant now = Instant::ms(number(batch, "Time"));
-  if (find(batch, "arrivals") == nullptr) wrong("arrivals", "missing");
+  if (find(batch, "arrivals") == nullptr) failField("arrivals", "missing");
 
   // By instance, in the order in which they were touched. Gone with the batch, also where a line of it can't be read.
   std::vector<std::pair<std::string, std::vector<Event>>> touched;
   for (const Value& message : array(batch, "arrivals").GetArray()) {
     if (!message.IsObject() || message.MemberCount() != 1 || !message.MemberBegin()->value.IsObject()) {
-      wrong("arrivals", "objects of a single message are wanted");
+      failField("arrivals", "objects of a single message are wanted");
     }
     const std::string_view kind = text(message.MemberBegin()->name);
     const Value& fields = message.MemberBegin()->value;
@@ -298,7 +299,7 @@
       auto copy = std::make_shared<rapidjson::Document>();
       copy->CopyFrom(array(fields, "Members"), copy->GetAllocator());
       for (const Value& entry : copy->GetArray()) {
-        if (!entry.IsObject()) wrong("Members", "objects are wanted");
+        if (!entry.IsObject()) failField("Members", "objects are wanted");
       }
       state_->lists[integer(fields, "Bank")] = std::move(copy);
       continue;
@@ -339,7 +340,7 @@
     Sender sender(json, instance);
     try {
       office->second->play(now, events, sender);
-    } catch (const WireFault&) {
+    } catch (const ParseError&) {
       throw;
     } catch (const std::exception& failure) {
       sender.die(failure.what());
@@ -350,4 +351,4 @@
   return {reply.GetString(), reply.GetSize()};
 }
 
-}  // namespace thistlefold::drill
+}  // namespace thistlefold::bench_adapter
--- a/src/bench_adapter/bench_adapter.hpp
+++ b/src/bench_adapter/bench_adapter.hpp
@@ -5,15 +5,15 @@
 
 #include "wire/fields.hpp"
 
-namespace thistlefold::drill {
+namespace thistlefold::bench_adapter {
 
-using wire::WireFault;
+using wire::ParseError;
 
 /// Hosts many offices behind the simulator's wire: one line in, one line out.
-class Drill {
+class BenchAdapter {
  public:
-  Drill();
-  ~Drill();
+  BenchAdapter();
+  ~BenchAdapter();
   std::string answer(const std::string& line);
 
  private:
@@ -21,4 +21,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace thistlefold::drill
+}  // namespace thistlefold::bench_adapter
--- a/src/bench_adapter/main.cpp
+++ b/src/bench_adapter/main.cpp
@@ -5,12 +5,12 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  thistlefold::drill::Drill drill;
+  thistlefold::bench_adapter::BenchAdapter adapter;
   std::string line;
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
-      std::cout << drill.answer(line) << '\n' << std::flush;
-    } catch (const thistlefold::drill::WireFault& fault) {
+      std::cout << adapter.answer(line) << '\n' << std::flush;
+    } catch (const thistlefold::bench_adapter::ParseError& fault) {
       std::cerr << "thistlefold_bench_adapter: line " << number << ": " << fault.what() << '\n';
       return 1;
     }
--- a/src/command/audit.cpp
+++ b/src/command/audit.cpp
@@ -40,11 +40,11 @@
           read.ec != std::errc() || read.ptr != end) {
         std::cerr << "thistlefold audit: --session: hex digits are expected, not '" << wanted->session << "'\n";
         status = 2;
-      } else if (audit::ladder(fleet, wanted->capture, session, std::cout) == 0) {
+      } else if (audit::sessionTrace(fleet, wanted->capture, session, std::cout) == 0) {
         std::cerr << "thistlefold audit: no frame of session " << wanted->session << " in the capture\n";
         status = 1;
       }
-    } catch (const settings::Wrong& wrong) {
+    } catch (const settings::SettingsError& wrong) {
       std::cerr << wrong.what() << '\n';
       status = 1;
     }
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -14,7 +14,7 @@
   if (kind == "fleet") {
     const Fleet fleet = settings::readFleet(document.only("fleet"));
     std::cout << path << ": a fleet of " << fleet.places.size() << " exchanges, " << fleet.groups.size()
-              << " trunk groups, " << fleet.offers.size() << " services\n";
+              << " trunk groups, " << fleet.offeredServices.size() << " services\n";
   } else if (kind == "office") {
     const settings::OfficeFile office = settings::openOfficeFile(path);
     std::cout << path << ": the office of " << office.fleet.places[static_cast<std::size_t>(office.setting.place)].name
@@ -22,9 +22,9 @@
   } else if (kind == "day") {
     const day::DayPlan plan = day::openDay(path);
     std::cout << path << ": day " << plan.name << " of " << plan.length.ms() / 1000 << " s, "
-              << plan.fleet.places.size() << " exchanges, " << plan.troubles.size() << " troubles\n";
+              << plan.fleet.places.size() << " exchanges, " << plan.faults.size() << " troubles\n";
   } else {
-    document.forms().front().wrong("(fleet ...), (office ...) or (day ...) is expected");
+    document.forms().front().fail("(fleet ...), (office ...) or (day ...) is expected");
   }
 }
 
@@ -47,7 +47,7 @@
     for (const std::string& path : *paths) {
       try {
         check(path);
-      } catch (const settings::Wrong& wrong) {
+      } catch (const settings::SettingsError& wrong) {
         std::cerr << wrong.what() << '\n';
         status = 1;
       }
--- a/src/command/commands.hpp
+++ b/src/command/commands.hpp
@@ -9,7 +9,7 @@
 
 void addServe(CLI::App& app, int& status);
 void addNode(CLI::App& app, int& status);
-void addStandIns(CLI::App& app, int& status);  // exchange, directory, load
+void addSimulators(CLI::App& app, int& status);  // exchange, directory, load
 void addDay(CLI::App& app, int& status);
 void addAudit(CLI::App& app, int& status);
 void addCheck(CLI::App& app, int& status);
--- a/src/command/day.cpp
+++ b/src/command/day.cpp
@@ -53,15 +53,15 @@
       if (command->count("--seed") > 0) plan.seed = wanted->seed;
       std::filesystem::create_directories(wanted->folder);
       const std::string program = std::filesystem::read_symlink("/proc/self/exe").string();
-      auto stage =
-          wanted->inMemory ? day::virtualStage(plan.fleet) : day::loopbackStage(plan.fleet, program, wanted->folder);
+      auto testbed = wanted->inMemory ? day::virtualTestbed(plan.fleet)
+                                      : day::loopbackTestbed(plan.fleet, program, wanted->folder);
       std::ofstream identities(wanted->folder + "/identities.sexp");
       identities << settings::writeFleet(day::identified(plan.fleet));
       if (!identities.flush()) throw std::runtime_error(wanted->folder + "/identities.sexp: can't be written");
-      const day::Report report = day::play(plan, *stage, wanted->folder + "/day.pcapng");
+      const day::Report report = day::play(plan, *testbed, wanted->folder + "/day.pcapng");
       std::cout << (wanted->json ? day::json(report) + "\n" : day::describe(report));
       status = report.good() ? 0 : 1;
-    } catch (const settings::Wrong& wrong) {
+    } catch (const settings::SettingsError& wrong) {
       std::cerr << wrong.what() << '\n';
       status = 1;
     }
--- a/src/command/dimension.cpp
+++ b/src/command/dimension.cpp
@@ -34,7 +34,7 @@
   mesh.places = static_cast<int>(plan.fleet.places.size());
   mesh.loads = loads.erlangs;
   mesh.mostInvites = plan.fleet.data.maxInvites;
-  for (const Offer& offer : plan.fleet.offers) mesh.widths.push_back(offer.width);
+  for (const OfferedService& offer : plan.fleet.offeredServices) mesh.widths.push_back(offer.width);
   const auto zone = [&](int place) {
     return static_cast<std::size_t>(plan.fleet.zone(plan.fleet.places[static_cast<std::size_t>(place)].zone));
   };
@@ -60,7 +60,7 @@
 
 /// Service and share, of SERVICE=SHARE.
 std::vector<double> lossesWished(const std::vector<std::string>& texts, const Fleet& fleet) {
-  std::vector<double> wished(fleet.offers.size(), 0.01);
+  std::vector<double> wished(fleet.offeredServices.size(), 0.01);
   for (const std::string& text : texts) {
     const auto gap = text.find('=');
     const int service = gap == std::string::npos ? -1 : fleet.service(text.substr(0, gap));
@@ -95,8 +95,8 @@
       groups.push_back(std::move(one));
     }
     for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-      services.push_back(
-          json::object{{"service", fleet.offers[s].name}, {"lost", loss.service[s]}, {"worst_pair", loss.worst[s]}});
+      services.push_back(json::object{
+          {"service", fleet.offeredServices[s].name}, {"lost", loss.service[s]}, {"worst_pair", loss.worst[s]}});
     }
     std::cout << json::serialize(json::object{{"services", services}, {"groups", groups}, {"settled", loss.settled}})
               << '\n';
@@ -122,8 +122,8 @@
   }
   if (wanted.csv) return;
   for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-    std::cout << fleet.offers[s].name << ": lost " << std::setprecision(4) << loss.service[s] << ", worst pair "
-              << loss.worst[s] << '\n';
+    std::cout << fleet.offeredServices[s].name << ": lost " << std::setprecision(4) << loss.service[s]
+              << ", worst pair " << loss.worst[s] << '\n';
   }
   if (!loss.settled)
     std::cout << "the rounds did not settle: overflow feeds on itself here, take the losses for too low\n";
@@ -147,7 +147,7 @@
   const auto guarded = [&status](const std::string& command, const std::function<void()>& what) {
     try {
       what();
-    } catch (const settings::Wrong& wrong) {
+    } catch (const settings::SettingsError& wrong) {
       std::cerr << wrong.what() << '\n';
       status = 1;
     } catch (const std::exception& wrong) {
--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -21,19 +21,19 @@
   net::Clock& clock() { return *clock_; }
   net::RealPort& port() { return *port_; }
   boost::asio::io_context& context() { return context_; }
-  net::Attendance& attendance() { return *attendance_; }
+  net::DatagramRunner& runner() { return *runner_; }
 
   /// Attends to the station until stop() or the port fails. Throws std::runtime_error if the station did.
-  void run(Station& station) {
+  void run(DatagramHandler& handler) {
     std::string failed;
-    attendance_ =
-        std::make_unique<net::Attendance>(context_.get_executor(), station, *port_, *clock_, [&](const char* what) {
+    runner_ =
+        std::make_unique<net::DatagramRunner>(context_.get_executor(), handler, *port_, *clock_, [&](const char* what) {
           failed = what;
           context_.stop();
         });
     context_.run();
     port_->close();
-    attendance_.reset();
+    runner_.reset();
     context_.restart();
     context_.poll();
     if (!failed.empty()) throw std::runtime_error("ended by a fault: " + failed);
@@ -44,7 +44,7 @@
   boost::asio::io_context context_;
   std::unique_ptr<net::Clock> clock_;
   std::unique_ptr<net::RealPort> port_;
-  std::unique_ptr<net::Attendance> attendance_;
+  std::unique_ptr<net::DatagramRunner> runner_;
 };
 
 }  // namespace thistlefold::command
--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -16,7 +16,7 @@
   addAudit(app, status);
   addZones(app, status);
   addDimension(app, status);
-  addStandIns(app, status);
+  addSimulators(app, status);
   try {
     app.parse(count, words);
   } catch (const CLI::ParseError& error) {
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -34,7 +34,7 @@
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   try {
     return platform::readDeployment(text);
-  } catch (const wire::WireFault& fault) {
+  } catch (const wire::ParseError& fault) {
     throw std::runtime_error(path + ": " + fault.what());
   }
 }
@@ -49,8 +49,8 @@
   const platform::Deployment deployment = openDeployment(path);
 
   const auto clock = net::realClock(context.get_executor());
-  net::Streams streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections));
-  platform::Softswitch softswitch(deployment, clock->now(), streams, openOffice,
+  net::StreamRunner streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections));
+  platform::Softswitch softswitch(deployment, clock->now(), streams, makeController,
                                   [&](std::string_view what) { log->info("{}", what); });
   std::string failed;
   log->info("office={} listening {}", deployment.name, text(streams.listen(deployment.listen)));
@@ -60,16 +60,16 @@
   });
 
   const auto untilStopped = [&]() -> asio::awaitable<void> {
-    const auto alarm = clock->alarm();
+    const auto timer = clock->timer();
     while (!softswitch.stopped(clock->now())) {
-      alarm->set(clock->now() + Span::ms(10));
-      co_await alarm->rung();
+      timer->set(clock->now() + Span::ms(10));
+      co_await timer->asyncWait();
     }
     streams.deafen();
     softswitch.part(clock->now());
     for (const Instant end = clock->now() + kPart; streams.held() > 0 && clock->now() < end;) {
-      alarm->set(clock->now() + Span::ms(10));
-      co_await alarm->rung();
+      timer->set(clock->now() + Span::ms(10));
+      co_await timer->asyncWait();
     }
     context.stop();
   };
@@ -82,18 +82,18 @@
   // A file that is still being written can't be read now, but may be shortly after.
   int rereading = 0;  // the newest signal's alone goes on
   const auto untilRead = [&](int mine) -> asio::awaitable<void> {
-    const auto alarm = clock->alarm();
+    const auto timer = clock->timer();
     for (int tries = 0; tries < kRereads && mine == rereading; ++tries) {
       try {
         softswitch.reconfigured(clock->now(), openDeployment(path));
         log->info("configuration read anew");
-        streams.nudge();
+        streams.wakeUp();
         co_return;
       } catch (const std::exception& failure) {
         if (tries == 0) log->error("{}; it stays as it was", failure.what());
       }
-      alarm->set(clock->now() + kRereadEvery);
-      co_await alarm->rung();
+      timer->set(clock->now() + kRereadEvery);
+      co_await timer->asyncWait();
     }
   };
   std::function<void()> onHup = [&] {
@@ -105,10 +105,10 @@
   };
   onHup();
   const auto accounting = [&]() -> asio::awaitable<void> {
-    const auto alarm = clock->alarm();
+    const auto timer = clock->timer();
     for (;;) {
-      alarm->set(clock->now() + kAccountEvery);
-      co_await alarm->rung();
+      timer->set(clock->now() + kAccountEvery);
+      co_await timer->asyncWait();
       log->info("{}", softswitch.account());
     }
   };
--- a/src/command/office_query.cpp
+++ b/src/command/office_query.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::optional<std::string> askOffice(iax2::Address office, std::string_view question) {
+std::optional<std::string> queryOffice(iax2::Address office, std::string_view question) {
   Host host({0x7f000001, 0});
   std::optional<std::string> account;
   for (int i = 0; i < kQuestions * kMillisecondsEach / kLook && !account; ++i) {
--- a/src/command/office_query.hpp
+++ b/src/command/office_query.hpp
@@ -9,6 +9,6 @@
 namespace thistlefold::command {
 
 /// Asks a running office; nothing if it does not answer within three seconds.
-std::optional<std::string> askOffice(iax2::Address office, std::string_view question);
+std::optional<std::string> queryOffice(iax2::Address office, std::string_view question);
 
 }  // namespace thistlefold::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -52,8 +52,8 @@
                 exchange.empty() ? "-" : exchange, reason);
     }
   }
-  void operator()(const Happening& one) {
-    using What = Happening::What;
+  void operator()(const OfficeEvent& one) {
+    using What = OfficeEvent::What;
     static constexpr std::string_view kEvents[] = {"taken", "invited",   "stood",     "ended", "refused",
                                                    "cut",   "peer-lost", "peer-back", "listed"};
     const bool session = one.what <= What::cut;
@@ -71,10 +71,10 @@
 };
 
 /// The office, and beside it the answers to questions of `thistlefold status` and `zones`, which come to the same port.
-class Counter final : public Station {
+class Counter final : public DatagramHandler {
  public:
   Counter(Office& office, std::function<std::string()> reread) : office_(office), reread_(std::move(reread)) {}
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
     const std::string_view text(reinterpret_cast<const char*>(datagram.data()), datagram.size());
     // Only to this host: an account is longer than the question, and nobody else's business. What offices and the
     // directory tell each other is no question.
@@ -83,18 +83,18 @@
     if (question && from.ip >> 24 == 127) {
       if (askers_.size() < 16) askers_.emplace_back(from, text);
     } else {
-      office_.take(now, from, datagram);
+      office_.receive(now, from, datagram);
     }
   }
-  void turn(Instant now, const Outlet& out) override {
+  void process(Instant now, const DatagramSender& out) override {
     for (const auto& [asker, question] : askers_) {
       const std::string answer = question == kReread ? reread_() : office_.answer(now, question).value_or("{}");
       out(asker, {reinterpret_cast<const std::uint8_t*>(answer.data()), answer.size()});
     }
     askers_.clear();
-    office_.turn(now, out);
+    office_.process(now, out);
   }
-  Instant nextTurn() const override { return office_.nextTurn(); }
+  Instant nextDeadline() const override { return office_.nextDeadline(); }
 
  private:
   static constexpr std::string_view kReread = "thistlefold reread 1\n";
@@ -109,18 +109,18 @@
   const std::string& name = file.fleet.places[static_cast<std::size_t>(file.setting.place)].name;
   Lines lines(openLog(file.log), name, file.log.format == "json");
   Host host(file.listen);
-  Office office(file.fleet, file.setting, host.clock().now(), openOffice, std::ref(lines));
+  Office office(file.fleet, file.setting, host.clock().now(), makeController, std::ref(lines));
   // Budgets alone are read anew; for all else an office is started anew.
   const auto rereadBudgets = [&]() -> std::string {
     try {
       const Fleet fleet = settings::openFleet(file.fleetPath);
-      if (fleet.zones() != file.fleet.zones() || fleet.offers.size() != file.fleet.offers.size()) {
-        throw settings::Wrong(file.fleetPath + ": other zones or services than this office was started with");
+      if (fleet.zones() != file.fleet.zones() || fleet.offeredServices.size() != file.fleet.offeredServices.size()) {
+        throw settings::SettingsError(file.fleetPath + ": other zones or services than this office was started with");
       }
       office.budgets(host.clock().now(), fleet.budgets);
       lines.say(spdlog::level::info, "budgets", 0, "", std::to_string(fleet.budgets.size()) + " taken");
       return "taken " + std::to_string(fleet.budgets.size()) + "\n";
-    } catch (const settings::Wrong& wrong) {
+    } catch (const settings::SettingsError& wrong) {
       std::string what = wrong.what();
       std::replace(what.begin(), what.end(), '"', '\'');
       lines.say(spdlog::level::err, "budgets", 0, "", what + "; they stay as they were");
@@ -133,10 +133,10 @@
       reread(host.context(), SIGHUP);
   const auto untilStopped = [&]() -> asio::awaitable<void> {
     const Instant latest = host.clock().now() + kStopWithin;
-    const auto alarm = host.clock().alarm();
+    const auto timer = host.clock().timer();
     while (!office.stopped() && host.clock().now() < latest) {
-      alarm->set(host.clock().now() + Span::ms(10));
-      co_await alarm->rung();
+      timer->set(host.clock().now() + Span::ms(10));
+      co_await timer->asyncWait();
     }
     host.stop();
   };
@@ -144,7 +144,7 @@
     if (error) return;
     lines.say(spdlog::level::info, "stopping", 0, "", std::to_string(office.sessions()) + " sessions held");
     office.stop(host.clock().now());
-    host.attendance().nudge();
+    host.runner().wakeUp();
     asio::co_spawn(host.context(), untilStopped(), asio::detached);
   });
   std::function<void()> onLevel = [&] {
@@ -161,7 +161,7 @@
     reread.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
       rereadBudgets();
-      host.attendance().nudge();
+      host.runner().wakeUp();
       onHup();
     });
   };
@@ -189,7 +189,7 @@
   command->callback([=, &status] {
     try {
       status = serve(*path);
-    } catch (const settings::Wrong& wrong) {
+    } catch (const settings::SettingsError& wrong) {
       std::cerr << wrong.what() << '\n';
       status = 1;
     }
--- a/src/command/simulators.cpp
+++ b/src/command/simulators.cpp
@@ -17,7 +17,7 @@
 namespace asio = boost::asio;
 
 /// Runs until a signal, or for so long where `seconds` is above zero.
-void run(Host& host, Station& station, double seconds) {
+void run(Host& host, DatagramHandler& station, double seconds) {
   asio::signal_set ends(host.context(), SIGTERM, SIGINT);
   ends.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) host.stop();
@@ -35,7 +35,7 @@
 
 int placeOf(const Fleet& fleet, const std::string& name) {
   const int place = fleet.place(name);
-  if (place < 0) throw settings::Wrong("no exchange '" + name + "' in this fleet");
+  if (place < 0) throw settings::SettingsError("no exchange '" + name + "' in this fleet");
   return place;
 }
 
@@ -43,7 +43,7 @@
 void guarded(int& status, Body body) {
   try {
     status = body();
-  } catch (const settings::Wrong& wrong) {
+  } catch (const settings::SettingsError& wrong) {
     std::cerr << wrong.what() << '\n';
     status = 1;
   }
@@ -56,16 +56,16 @@
   model.setUpWork = 1000 / place.setUpsASecond;
   model.followWork = 0.35 * model.setUpWork;
   model.turnAwayWork = 0.2 * model.setUpWork;
-  model.coldFrom = fleet.data.coldFrom;
-  model.warmAfter = fleet.data.warmAfter;
-  model.fallMultiple = fleet.data.fallMultiple;
-  model.tipAfter = fleet.data.tipAfter;
+  model.coldCapacityShare = fleet.data.coldCapacityShare;
+  model.warmUpTime = fleet.data.warmUpTime;
+  model.overloadFactor = fleet.data.overloadFactor;
+  model.overloadWindow = fleet.data.overloadWindow;
   Host host(place.processor);
-  ExchangeStandIn station(model, 1, host.clock().now(), !cold);
+  SimulatedExchange station(model, 1, host.clock().now(), !cold);
   run(host, station, seconds);
-  const auto& tally = station.tally();
-  std::cout << "set-ups " << tally.setUps << ", stood " << tally.stood << ", turned away " << tally.turnedAway
-            << ", dropped " << tally.dropped << (station.fallen() ? ", pushed over" : "") << '\n';
+  const auto& counters = station.counters();
+  std::cout << "set-ups " << counters.setUps << ", stood " << counters.stood << ", turned away " << counters.turnedAway
+            << ", dropped " << counters.dropped << (station.fallen() ? ", pushed over" : "") << '\n';
   return 0;
 }
 
@@ -74,8 +74,8 @@
   std::vector<iax2::Address> offices;
   for (const Place& place : fleet.places) offices.push_back(place.office);
   Host host(fleet.directory);
-  DirectoryStandIn station(fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
-                           host.clock().now());
+  SimulatedDirectory station(fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
+                             host.clock().now());
   // (states (NAME ready|draining|gone) ...), read again at SIGHUP.
   asio::signal_set again(host.context(), SIGHUP);
   std::vector<std::uint64_t> marks(fleet.places.size(), 1);
@@ -86,12 +86,12 @@
     std::vector<std::pair<std::size_t, Readiness>> read;
     for (const settings::Form& one : document.only("states").items) {
       if (!one.isList()) continue;
-      if (one.items.size() != 2) one.wrong("(NAME ready|draining|gone) is expected");
+      if (one.items.size() != 2) one.fail("(NAME ready|draining|gone) is expected");
       const int place = fleet.place(one.items[0].value);
-      if (place < 0) one.items[0].wrong("no exchange '" + one.items[0].value + "' in the fleet");
+      if (place < 0) one.items[0].fail("no exchange '" + one.items[0].value + "' in the fleet");
       const std::string& state = one.items[1].value;
       if (state != "ready" && state != "draining" && state != "gone") {
-        one.items[1].wrong("ready, draining or gone is expected, not '" + state + "'");
+        one.items[1].fail("ready, draining or gone is expected, not '" + state + "'");
       }
       read.emplace_back(static_cast<std::size_t>(place), state == "ready"      ? Readiness::ready
                                                          : state == "draining" ? Readiness::draining
@@ -109,8 +109,8 @@
       if (error) return;
       try {
         load();
-        host.attendance().nudge();
-      } catch (const settings::Wrong& wrong) {
+        host.runner().wakeUp();
+      } catch (const settings::SettingsError& wrong) {
         std::cerr << wrong.what() << "; the states stay as they were\n";
       }
       onHup();
@@ -130,18 +130,18 @@
   plan.rate = rate;
   plan.length = Span::ms(seconds * 1000);
   plan.swing = 0;
-  plan.shares.assign(plan.fleet.offers.size(), 1);
+  plan.shares.assign(plan.fleet.offeredServices.size(), 1);
   if (hold > 0) {
     for (Service& service : plan.fleet.data.services) service.meanHold = Span::ms(hold);
   }
   Host host({0x7f000001, 0});
-  CallerHabit habit;
-  habit.redials = 0;
-  Callers callers(plan.fleet, habit, seed, host.clock().now());
-  std::vector<Dial> dials = day::traffic(plan);
+  CallerBehaviour behaviour;
+  behaviour.redials = 0;
+  SimulatedCallers callers(plan.fleet, behaviour, seed, host.clock().now());
+  std::vector<PlannedCall> dials = day::traffic(plan);
   const Instant begin = host.clock().now() + Span::ms(100);
   callers.begin(begin);
-  for (Dial& dial : dials) {
+  for (PlannedCall& dial : dials) {
     dial.at = begin + (dial.at - Instant());
     if (only < 0) continue;
     if (plan.fleet.destination(dial.number) == only)
@@ -196,7 +196,7 @@
 
 }  // namespace
 
-void addStandIns(CLI::App& app, int& status) {
+void addSimulators(CLI::App& app, int& status) {
   struct Wanted {
     std::string fleet, name, states;
     double seconds = 0, rate = 10, hold = 0;
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -42,7 +42,7 @@
       status = 2;
       return;
     }
-    const auto account = askOffice(*at, "thistlefold status 1\n");
+    const auto account = queryOffice(*at, "thistlefold status 1\n");
     if (!account) {
       std::cerr << "thistlefold status: no answer from " << *address << '\n';
       status = 1;
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -119,7 +119,7 @@
 }
 
 json::value asked(iax2::Address office, const std::string& question) {
-  const auto answer = askOffice(office, question);
+  const auto answer = queryOffice(office, question);
   // A sum without one of its parts would pass for the whole.
   if (!answer) throw std::runtime_error("no answer from " + iax2::text(office));
   return json::parse(*answer);
@@ -287,7 +287,7 @@
   int status = 0;
   for (const Place& place : fleet.places) {
     if (place.zone != set[0]) continue;
-    const auto answer = askOffice(place.office, "thistlefold reread 1\n");
+    const auto answer = queryOffice(place.office, "thistlefold reread 1\n");
     const bool taken = answer && answer->starts_with("taken");
     if (!taken) status = 1;
     std::cout << place.name << ": "
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -40,7 +40,7 @@
     places(fam);
     traffic(fam);
     network();
-    for (const json::value& one : day_.at("troubles").as_array()) trouble(one.as_object());
+    for (const json::value& one : day_.at("troubles").as_array()) fault(one.as_object());
     leave("where sessions go drifts in the course of the day there; here the pairs keep their share");
     leave("calls that go out or through cost the own processor nothing here: the office sits in front of it");
     leave("reports of what a processor can take come here with every answer and without noise");
@@ -56,7 +56,8 @@
     const auto& classes = day_.at("classes").as_array();
     for (std::size_t i = 0; i < classes.size(); ++i) {
       const json::object& one = classes[i].as_object();
-      plan.fleet.offers.push_back({std::string(one.at("name").as_string()), fam.at("width").at(i).to_number<int>()});
+      plan.fleet.offeredServices.push_back(
+          {std::string(one.at("name").as_string()), fam.at("width").at(i).to_number<int>()});
       Service service;
       service.value = one.at("worth").to_number<double>();
       service.lateValue = one.at("late_worth").to_number<double>();
@@ -70,29 +71,29 @@
   }
 
   void rules(const json::object& fam) {
-    OfficeData& data = out_.plan.fleet.data;
+    OfficeConfig& data = out_.plan.fleet.data;
     const json::object& tier = day_.at("tiers").at(0).as_object();
     const json::object& kind = tier.at("kinds").at(0).as_object();
     const json::object& allow = day_.at("allow").as_object();
     data.maxInvites = allow.at("max_attempts").to_number<int>();
-    data.takesRetryAfter = allow.at("retry_after").as_bool();
+    data.honoursRetryAfter = allow.at("retry_after").as_bool();
     data.longestRetryAfter = microseconds(day_.at("clients").at("max_retry_after"));
-    data.clearWait = microseconds(fam.at("release"));
+    data.releaseTime = microseconds(fam.at("release"));
     if (fam.at("resend").to_number<double>() > 0) {
       leave("set-ups that wait are sent again there; here the exchange's office acknowledges them at once");
     }
-    data.coldFrom = tier.at("stated_cold_from").to_number<double>();
-    data.warmAfter = microseconds(tier.at("stated_cold"));
-    data.fallMultiple = day_.at("fall_multiple").to_number<double>();
-    data.tipAfter = microseconds(day_.at("fall_for"));
+    data.coldCapacityShare = tier.at("stated_cold_from").to_number<double>();
+    data.warmUpTime = microseconds(tier.at("stated_cold"));
+    data.overloadFactor = day_.at("fall_multiple").to_number<double>();
+    data.overloadWindow = microseconds(day_.at("fall_for"));
     data.mustSubscribe = day_.at("discovery").at("ask").as_bool();
-    data.askWithin = Span::ms(5000);
+    data.listStaleAfter = Span::ms(5000);
     out_.plan.fleet.drainGrace = microseconds(day_.at("drain_grace"));
     ProcessorModel& model = out_.plan.processor;
-    model.coldFrom = kind.at("cold_from").to_number<double>();
-    model.warmAfter = microseconds(kind.at("cold"));
-    model.fallMultiple = data.fallMultiple;
-    model.tipAfter = data.tipAfter;
+    model.coldCapacityShare = kind.at("cold_from").to_number<double>();
+    model.warmUpTime = microseconds(kind.at("cold"));
+    model.overloadFactor = data.overloadFactor;
+    model.overloadWindow = data.overloadWindow;
     model.followWork = fam.at("follow").to_number<double>();
     model.turnAwayWork = fam.at("reject").to_number<double>();
     model.longestWait = microseconds(fam.at("queue"));
@@ -122,7 +123,7 @@
   }
   int widest() const {
     int widest = 1;
-    for (const Offer& offer : out_.plan.fleet.offers) widest = std::max(widest, offer.width);
+    for (const OfferedService& offer : out_.plan.fleet.offeredServices) widest = std::max(widest, offer.width);
     return widest;
   }
 
@@ -139,7 +140,7 @@
     double sum = 0, each = 0;
     for (std::size_t i = 0; i < plan.shares.size(); ++i) {
       sum += plan.shares[i];
-      each += plan.shares[i] * plan.fleet.offers[i].width * plan.fleet.data.services[i].meanHold.ms() / 1000;
+      each += plan.shares[i] * plan.fleet.offeredServices[i].width * plan.fleet.data.services[i].meanHold.ms() / 1000;
     }
     const double load = day_.at("traffic").at("load").to_number<double>();
     plan.rate = scale_ * load * erlangs / (each / sum);
@@ -148,10 +149,10 @@
       plan.knots.emplace_back(Span::ms(knot.at(0).to_number<double>() * 1000), knot.at(1).to_number<double>());
     }
     const json::object& clients = day_.at("clients").as_object();
-    plan.habit.redials = clients.at("retries").to_number<int>();
-    plan.habit.backoff = microseconds(clients.at("backoff_us"));
-    plan.habit.honour = clients.at("honour").to_number<double>();
-    plan.habit.tryShare = clients.at("try_share").to_number<double>();
+    plan.behaviour.redials = clients.at("retries").to_number<int>();
+    plan.behaviour.backoff = microseconds(clients.at("backoff_us"));
+    plan.behaviour.honour = clients.at("honour").to_number<double>();
+    plan.behaviour.tryShare = clients.at("try_share").to_number<double>();
     if (clients.at("backoff").as_string() != "fixed")
       leave("callers' backoff of kind " + std::string(clients.at("backoff").as_string()));
     plan.notice = microseconds(day_.at("discovery").at("notice"));
@@ -164,82 +165,82 @@
     out_.plan.network.jitter = net.at("jitter").to_number<double>();
   }
 
-  void trouble(const json::object& one) {
+  void fault(const json::object& one) {
     const std::string kind(one.at("kind").as_string());
     const double size = one.at("size").to_number<double>();
-    Trouble trouble{};
-    trouble.at = microseconds(one.at("at"));
-    trouble.lasts = microseconds(one.at("len"));
-    trouble.size = size;
-    trouble.words = "(" + kind + ")";
+    Fault fault{};
+    fault.at = microseconds(one.at("at"));
+    fault.lasts = microseconds(one.at("len"));
+    fault.size = size;
+    fault.words = "(" + kind + ")";
     for (const int place : indexes(one.at("on"))) {
-      if (place < count_) trouble.places.push_back(place);
+      if (place < count_) fault.places.push_back(place);
     }
-    const auto add = [&](Trouble::Kind as) {
-      trouble.kind = as;
-      out_.plan.troubles.push_back(trouble);
+    const auto add = [&](Fault::Kind as) {
+      fault.kind = as;
+      out_.plan.faults.push_back(fault);
     };
     if (kind == "crash" || kind == "mass_restart") {
-      add(Trouble::Kind::crash);
+      add(Fault::Kind::crash);
     } else if (kind == "vanish") {
-      add(Trouble::Kind::vanish);
+      add(Fault::Kind::vanish);
     } else if (kind == "hang") {
-      add(Trouble::Kind::hang);
+      add(Fault::Kind::hang);
     } else if (kind == "slow" || kind == "shared_slow") {
-      add(Trouble::Kind::slow);
+      add(Fault::Kind::slow);
     } else if (kind == "ageing") {
       // There a slowdown grows to `size` in the course of the trouble; here it doubles that often.
-      trouble.size = trouble.lasts.ms() / std::max(1.0, std::log2(std::max(2.0, size)));
-      add(Trouble::Kind::age);
+      fault.size = fault.lasts.ms() / std::max(1.0, std::log2(std::max(2.0, size)));
+      add(Fault::Kind::age);
     } else if (kind == "burst") {
-      add(Trouble::Kind::burst);
+      add(Fault::Kind::burst);
     } else if (kind == "hot_caller") {
       // `size` is the share of all traffic that the hot office has.
-      trouble.size = 1 + size * count_ / (1 - std::min(size, 0.9));
-      add(Trouble::Kind::hotCaller);
+      fault.size = 1 + size * count_ / (1 - std::min(size, 0.9));
+      add(Fault::Kind::hotCaller);
     } else if (kind == "reconnect") {
-      trouble.places.clear();
-      for (int i = 0; i < count_; ++i) trouble.places.push_back(i);
-      out_.plan.habit.returnsWithin = trouble.lasts;
-      add(Trouble::Kind::cut);
+      fault.places.clear();
+      for (int i = 0; i < count_; ++i) fault.places.push_back(i);
+      out_.plan.behaviour.returnsWithin = fault.lasts;
+      add(Fault::Kind::cut);
     } else if (kind == "origin_slow") {
       const auto zone = one.at("which").to_number<std::size_t>();
       const std::string name(day_.at("zones").at(zone).as_string());
       for (int i = 0; i < count_; ++i) {
-        if (out_.plan.fleet.places[static_cast<std::size_t>(i)].zone == name) trouble.places.push_back(i);
+        if (out_.plan.fleet.places[static_cast<std::size_t>(i)].zone == name) fault.places.push_back(i);
       }
-      trouble.size = 1 / std::sqrt(size);
-      if (!trouble.places.empty()) add(Trouble::Kind::loseCircuits);
+      fault.size = 1 / std::sqrt(size);
+      if (!fault.places.empty()) add(Fault::Kind::loseCircuits);
     } else if (kind == "balancer_stall") {
       const bool apart = one.contains("how") && one.at("how").as_string() == "apart";
-      stalls(trouble, Span::ms(size), Span::ms(one.at("extra").to_number<double>() * 1000), apart);
+      stalls(fault, Span::ms(size), Span::ms(one.at("extra").to_number<double>() * 1000), apart);
     } else if (kind == "deploy") {
       for (const json::value& step : one.at("steps").as_array()) {
-        Trouble replaced = trouble;
-        replaced.kind = Trouble::Kind::replace;
+        Fault replaced = fault;
+        replaced.kind = Fault::Kind::replace;
         replaced.at = microseconds(step.at("at"));
         replaced.lasts = Span::ms(one.at("extra").to_number<double>() * 1000);
         replaced.places.clear();
         for (const int server : indexes(step.at("stop"))) replaced.places.push_back(server % count_);
-        out_.plan.troubles.push_back(replaced);
+        out_.plan.faults.push_back(replaced);
       }
     } else {
-      leave("trouble " + kind + " at " + std::to_string(static_cast<long>(trouble.at.ms())) + " ms");
+      leave("trouble " + kind + " at " + std::to_string(static_cast<long>(fault.at.ms())) + " ms");
     }
   }
 
   /// An office stands still for `each` and runs for `between`, over and over; apart: by turns.
-  void stalls(const Trouble& all, Span each, Span between, bool apart) {
+  void stalls(const Fault& all, Span each, Span between, bool apart) {
     for (std::size_t k = 0; k < all.places.size(); ++k) {
       const Span shift =
           apart ? (each + between) * (static_cast<double>(k) / static_cast<double>(all.places.size())) : Span();
       for (Span at = all.at + shift; at + each <= all.at + all.lasts; at = at + each + between) {
-        Trouble one = all;
-        one.kind = Trouble::Kind::freeze;
+        Fault one = all;
+        one.kind = Fault::Kind::freeze;
         one.at = at;
         one.lasts = each;
         one.places = {all.places[k]};
-        out_.plan.troubles.push_back(one);
+        out_.plan.faults.push_back(one);
       }
     }
   }
--- a/src/day/loopback_testbed.cpp
+++ b/src/day/loopback_testbed.cpp
@@ -32,7 +32,7 @@
  public:
   Process(const std::vector<std::string>& words, const std::string& logPath) {
     int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw StageFault("no pipe for an office");
+    if (::pipe2(ends, O_CLOEXEC) != 0) throw TestbedError("no pipe for an office");
     const int log = ::open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     std::vector<char*> arguments;
     for (const std::string& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
@@ -50,7 +50,7 @@
     ::close(ends[1]);
     if (log >= 0) ::close(log);
     out_ = ends[0];
-    if (id_ < 0) throw StageFault("no process for an office");
+    if (id_ < 0) throw TestbedError("no process for an office");
   }
   ~Process() {
     if (!reaped_) {
@@ -93,9 +93,9 @@
 
 /// Every datagram passes a relay: each identity has a face, a port that stands for it towards all others. What comes
 /// in at a face from a known socket is delivered from the sender's face, after the delay that fate gives it.
-class LoopbackStage final : public Stage {
+class LoopbackTestbed final : public Testbed {
  public:
-  LoopbackStage(Fleet fleet, std::string program, std::string folder)
+  LoopbackTestbed(Fleet fleet, std::string program, std::string folder)
       : fleet_(std::move(fleet)),
         program_(std::move(program)),
         folder_(std::move(folder)),
@@ -112,9 +112,9 @@
     write(fleetPath_, settings::writeFleet(fleet_));
     asker_ = net::bindPort(context_.get_executor(), kAnyPort);
   }
-  ~LoopbackStage() override {
+  ~LoopbackTestbed() override {
     for (auto& [identity, one] : faces_) {
-      one->attendance.reset();
+      one->runner.reset();
       one->port->close();
     }
     for (auto& [identity, host] : hosts_) close(*host);
@@ -124,16 +124,16 @@
   }
 
   Instant now() const override { return clock_->now(); }
-  void fate(net::Fate fate) override { fate_ = std::move(fate); }
-  void tap(net::MemoryNetwork::Tap tap) override { tap_ = std::move(tap); }
+  void setImpairment(net::Impairment impairment) override { impairment_ = std::move(impairment); }
+  void setTap(net::MemoryNetwork::Tap tap) override { tap_ = std::move(tap); }
   const Fleet& fleet() const override { return fleet_; }
 
-  void place(iax2::Address identity, Station& station) override {
+  void place(iax2::Address identity, DatagramHandler& handler) override {
     auto host = std::make_unique<Host>();
     host->port = net::bindPort(context_.get_executor(), kAnyPort);
-    host->attendance = std::make_unique<net::Attendance>(
-        context_.get_executor(), station, *host->port, *clock_,
-        [identity](const char* what) { throw StageFault("station " + iax2::text(identity) + ": " + what); });
+    host->runner = std::make_unique<net::DatagramRunner>(
+        context_.get_executor(), handler, *host->port, *clock_,
+        [identity](const char* what) { throw TestbedError("station " + iax2::text(identity) + ": " + what); });
     known(identity, host->port->address());
     hosts_[identity] = std::move(host);
   }
@@ -145,9 +145,9 @@
     at(now() + Span::ms(5), [gone = std::shared_ptr<Host>(std::move(it->second))] {});
     hosts_.erase(it);
   }
-  void nudge(iax2::Address identity) override {
+  void wakeUp(iax2::Address identity) override {
     const auto it = hosts_.find(identity);
-    if (it != hosts_.end()) it->second->attendance->nudge();
+    if (it != hosts_.end()) it->second->runner->wakeUp();
   }
 
   void startOffice(int place, std::uint64_t seed) override {
@@ -160,7 +160,7 @@
     auto process = std::make_unique<Process>(std::vector<std::string>{program_, "serve", path}, log);
     const std::string line = process->line(kStartWithin);
     const auto address = line.starts_with("listening ") ? iax2::parseAddress(line.substr(10)) : std::nullopt;
-    if (!address) throw StageFault("office " + name + " did not start; see " + log);
+    if (!address) throw TestbedError("office " + name + " did not start; see " + log);
     listened_[place] = *address;
     known(officeIdentity(place), *address);
     processes_[place] = std::move(process);
@@ -214,22 +214,22 @@
  private:
   struct Host {
     std::unique_ptr<net::RealPort> port;
-    std::unique_ptr<net::Attendance> attendance;
+    std::unique_ptr<net::DatagramRunner> runner;
   };
   /// Passes on what reaches a face.
-  struct Face final : Station {
-    Face(LoopbackStage& at, iax2::Address whose) : stage(at), identity(whose) {}
-    void take(Instant at, iax2::Address from, std::span<const std::uint8_t> datagram) override {
-      const auto sender = stage.identityOf_.find(from);
-      if (sender != stage.identityOf_.end()) stage.carry(at, sender->second, identity, datagram);
+  struct Face final : DatagramHandler {
+    Face(LoopbackTestbed& at, iax2::Address whose) : testbed(at), identity(whose) {}
+    void receive(Instant at, iax2::Address from, std::span<const std::uint8_t> datagram) override {
+      const auto sender = testbed.identityOf_.find(from);
+      if (sender != testbed.identityOf_.end()) testbed.carry(at, sender->second, identity, datagram);
     }
-    void turn(Instant, const Outlet&) override {}
-    Instant nextTurn() const override { return Instant::never(); }
+    void process(Instant, const DatagramSender&) override {}
+    Instant nextDeadline() const override { return Instant::never(); }
 
-    LoopbackStage& stage;
+    LoopbackTestbed& testbed;
     iax2::Address identity;
     std::unique_ptr<net::RealPort> port;
-    std::unique_ptr<net::Attendance> attendance;
+    std::unique_ptr<net::DatagramRunner> runner;
   };
 
   Face& face(iax2::Address identity) {
@@ -237,9 +237,9 @@
     if (one == nullptr) {
       one = std::make_unique<Face>(*this, identity);
       one->port = net::bindPort(context_.get_executor(), kAnyPort);
-      one->attendance =
-          std::make_unique<net::Attendance>(context_.get_executor(), *one, *one->port, *clock_,
-                                            [](const char* what) { throw StageFault(std::string("relay: ") + what); });
+      one->runner = std::make_unique<net::DatagramRunner>(
+          context_.get_executor(), *one, *one->port, *clock_,
+          [](const char* what) { throw TestbedError(std::string("relay: ") + what); });
     }
     return *one;
   }
@@ -255,12 +255,12 @@
   }
   static void close(Host& host) {
     host.port->close();
-    host.attendance.reset();
+    host.runner.reset();
   }
   void carry(Instant, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram) {
     std::vector<std::uint8_t> bytes(datagram.begin(), datagram.end());
     if (tap_) tap_(now(), from, to, datagram, false);
-    for (const Span delay : fate_ ? fate_(from, to, bytes) : std::vector<Span>{Span::none()}) {
+    for (const Span delay : impairment_ ? impairment_(from, to, bytes) : std::vector<Span>{Span::none()}) {
       at(now() + delay, [this, from, to, bytes] {
         const auto socket = socketOf_.find(to);
         if (socket == socketOf_.end()) return;
@@ -272,14 +272,14 @@
   static void write(const std::string& path, const std::string& text) {
     std::ofstream out(path, std::ios::trunc);
     out << text;
-    if (!out.flush()) throw StageFault(path + ": can't be written");
+    if (!out.flush()) throw TestbedError(path + ": can't be written");
   }
 
   Fleet fleet_;
   std::string program_, folder_, fleetPath_;
   asio::io_context context_;
   std::unique_ptr<net::Clock> clock_;
-  net::Fate fate_;
+  net::Impairment impairment_;
   net::MemoryNetwork::Tap tap_;
   std::multimap<Instant, std::function<void()>> due_;
   std::map<iax2::Address, std::unique_ptr<Face>> faces_;
@@ -292,8 +292,8 @@
 
 }  // namespace
 
-std::unique_ptr<Stage> loopbackStage(Fleet fleet, std::string program, std::string folder) {
-  return std::make_unique<LoopbackStage>(std::move(fleet), std::move(program), std::move(folder));
+std::unique_ptr<Testbed> loopbackTestbed(Fleet fleet, std::string program, std::string folder) {
+  return std::make_unique<LoopbackTestbed>(std::move(fleet), std::move(program), std::move(folder));
 }
 
 }  // namespace thistlefold::day
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -31,13 +31,13 @@
 
 class Player {
  public:
-  Player(const DayPlan& plan, Stage& stage, const std::string& capturePath)
+  Player(const DayPlan& plan, Testbed& testbed, const std::string& capturePath)
       : plan_(plan),
-        stage_(stage),
+        testbed_(testbed),
         capture_(capturePath),
         chance_(plan.seed * 104729 + 3),
         fleet_(identified(plan.fleet)),
-        callers_(stage.fleet(), plan.habit, plan.seed + 11, Instant()) {
+        callers_(testbed.fleet(), plan.behaviour, plan.seed + 11, Instant()) {
     for (std::size_t i = 0; i < fleet_.places.size(); ++i) {
       const int place = static_cast<int>(i);
       placeOf_[officeIdentity(place)] = place;
@@ -46,62 +46,62 @@
   }
 
   Report play(const std::string& capturePath) {
-    stage_.fate([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
-      return fate(from, to, bytes);
+    testbed_.setImpairment([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+      return impairment(from, to, bytes);
     });
-    stage_.tap(
+    testbed_.setTap(
         [this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes, bool delivered) {
           capture_.write({at, delivered, from, to, bytes});
         });
     const std::size_t count = fleet_.places.size();
     std::vector<iax2::Address> offices;
-    for (const Place& place : stage_.fleet().places) offices.push_back(place.office);
-    directory_ = std::make_unique<DirectoryStandIn>(
-        plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, count, stage_.now());
-    stage_.place(kDirectory, *directory_);
+    for (const Place& place : testbed_.fleet().places) offices.push_back(place.office);
+    directory_ = std::make_unique<SimulatedDirectory>(
+        plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, count, testbed_.now());
+    testbed_.place(kDirectory, *directory_);
     processors_.resize(count);
     for (std::size_t i = 0; i < count; ++i) startProcessor(static_cast<int>(i), true);
-    for (std::size_t i = 0; i < count; ++i) stage_.startOffice(static_cast<int>(i), plan_.seed + i);
-    stage_.runUntil(stage_.now() + kWarmUp);
+    for (std::size_t i = 0; i < count; ++i) testbed_.startOffice(static_cast<int>(i), plan_.seed + i);
+    testbed_.runUntil(testbed_.now() + kWarmUp);
 
-    begin_ = stage_.now();
+    begin_ = testbed_.now();
     note("begin");
     callers_.begin(begin_);
-    std::vector<Dial> dials = traffic(plan_);
-    for (Dial& dial : dials) dial.at = begin_ + (dial.at - Instant());
+    std::vector<PlannedCall> dials = traffic(plan_);
+    for (PlannedCall& dial : dials) dial.at = begin_ + (dial.at - Instant());
     callers_.plan(std::move(dials));
-    stage_.place(kCallers, callers_);
-    for (const Trouble& trouble : plan_.troubles) {
-      stage_.at(begin_ + trouble.at, [this, &trouble] { strike(trouble); });
+    testbed_.place(kCallers, callers_);
+    for (const Fault& fault : plan_.faults) {
+      testbed_.at(begin_ + fault.at, [this, &fault] { strike(fault); });
     }
-    stage_.runUntil(begin_ + plan_.length);
-    const Instant cutOff = stage_.now() + kLongestEnd;
-    while (callers_.active() > 0 && stage_.now() < cutOff) stage_.runUntil(stage_.now() + Span::ms(250));
-    stage_.runUntil(stage_.now() + kSettle);
+    testbed_.runUntil(begin_ + plan_.length);
+    const Instant cutOff = testbed_.now() + kLongestEnd;
+    while (callers_.active() > 0 && testbed_.now() < cutOff) testbed_.runUntil(testbed_.now() + Span::ms(250));
+    testbed_.runUntil(testbed_.now() + kSettle);
 
     Report report;
     report.unfinished = callers_.active();
     for (std::size_t i = 0; i < count; ++i) {
-      report.offices.push_back(stage_.ask(static_cast<int>(i), "thistlefold status 1\n").value_or(""));
-      report.zones.push_back(stage_.ask(static_cast<int>(i), "thistlefold zones 1\n").value_or(""));
+      report.offices.push_back(testbed_.ask(static_cast<int>(i), "thistlefold status 1\n").value_or(""));
+      report.zones.push_back(testbed_.ask(static_cast<int>(i), "thistlefold zones 1\n").value_or(""));
     }
     // The last five minutes to each zone, for reports of the run.
     for (std::size_t i = 0; i < count; ++i) {
       for (const std::string& zone : fleet_.zones()) {
         if (zone == fleet_.places[i].zone) continue;
-        const auto series = stage_.ask(static_cast<int>(i), "thistlefold series 1 second " + zone + "\n");
+        const auto series = testbed_.ask(static_cast<int>(i), "thistlefold series 1 second " + zone + "\n");
         if (series) report.series.push_back(*series);
       }
     }
     for (std::size_t i = 0; i < count; ++i) {
       note("stop " + fleet_.places[i].name);
-      stage_.stopOffice(static_cast<int>(i));
+      testbed_.stopOffice(static_cast<int>(i));
     }
-    stage_.runUntil(stage_.now() + Span::ms(500));
+    testbed_.runUntil(testbed_.now() + Span::ms(500));
     capture_.close();
-    report.seconds_taken = (stage_.now() - begin_).ms() / 1000;
+    report.seconds_taken = (testbed_.now() - begin_).ms() / 1000;
     gather(report);
-    report.findings = audit::audit(fleet_, capturePath, stage_.slack());
+    report.findings = audit::audit(fleet_, capturePath, testbed_.tolerance());
     compareCrossings(report);
     return report;
   }
@@ -109,11 +109,11 @@
  private:
   void gather(Report& report) {
     report.day = plan_.name;
-    for (const Offer& offer : fleet_.offers) report.services.push_back(offer.name);
+    for (const OfferedService& offer : fleet_.offeredServices) report.services.push_back(offer.name);
     report.served = callers_.served();
     report.seconds = callers_.seconds();
     report.refusals = callers_.refusals();
-    report.troubles = told_;
+    report.faults = told_;
     std::vector<float> delays = callers_.delays();
     std::sort(delays.begin(), delays.end());
     if (!delays.empty()) {
@@ -150,7 +150,7 @@
     for (const zones::Budget& budget : plan_.fleet.budgets) compareBudget(report, budget);
     report.crossingsChecked = true;
     report.unaccounted = report.findings.unaccounted;
-    std::map<audit::Crossing, audit::Crossed> told;
+    std::map<audit::ZoneLeg, audit::ZoneLegCounts> told;
     for (const std::string& account : report.zones) {
       if (account.empty()) report.crossingsChecked = false;
       if (account.empty()) continue;
@@ -158,7 +158,7 @@
       for (const char* part : {"cells", "inherited"})
         for (const auto& cell : read.at(part).as_array()) {
           const auto word = [&](const char* field) { return std::string(cell.at(field).as_string()); };
-          audit::Crossed& sums = told[{word("from"), word("to"), word("service"), word("part")}];
+          audit::ZoneLegCounts& sums = told[{word("from"), word("to"), word("service"), word("part")}];
           sums.invites += cell.at("invites").to_number<std::uint64_t>();
           sums.stood += cell.at("stood").to_number<std::uint64_t>();
         }
@@ -167,7 +167,7 @@
     auto seen = report.findings.remembered;
     for (const auto& [crossing, sums] : told) seen[crossing];
     for (const auto& [crossing, sums] : seen) {
-      const audit::Crossed& counted = told[crossing];
+      const audit::ZoneLegCounts& counted = told[crossing];
       if (counted == sums) continue;
       report.crossings.push_back(crossing.from + " to " + crossing.to + ", " + crossing.service + ", " + crossing.part +
                                  ": offices counted " + std::to_string(counted.invites) + " INVITEs and " +
@@ -216,14 +216,14 @@
     tell();
   }
 
-  void note(const std::string& text) { capture_.note(stage_.now(), text); }
+  void note(const std::string& text) { capture_.note(testbed_.now(), text); }
   void tell(const std::string& text) {
     std::ostringstream line;
-    line << std::fixed << std::setprecision(3) << (stage_.now() - begin_).ms() / 1000 << " s  " << text;
+    line << std::fixed << std::setprecision(3) << (testbed_.now() - begin_).ms() / 1000 << " s  " << text;
     told_.push_back(line.str());
   }
   const std::string& name(int place) const { return fleet_.places[static_cast<std::size_t>(place)].name; }
-  ExchangeStandIn& processor(int place) { return *processors_[static_cast<std::size_t>(place)]; }
+  SimulatedExchange& processor(int place) { return *processors_[static_cast<std::size_t>(place)]; }
   double lot() { return std::generate_canonical<double, 53>(chance_); }
 
   // ---- Exchanges
@@ -235,29 +235,30 @@
     model.turnAwayWork *= model.setUpWork;
     model.lines[massCalled(fleet_, place)] = plan_.lines;
     auto& at = processors_[static_cast<std::size_t>(place)];
-    at = std::make_unique<ExchangeStandIn>(model, plan_.seed + static_cast<std::uint64_t>(place), stage_.now(), warm);
-    stage_.place(processorIdentity(place), *at);
+    at = std::make_unique<SimulatedExchange>(model, plan_.seed + static_cast<std::uint64_t>(place), testbed_.now(),
+                                             warm);
+    testbed_.place(processorIdentity(place), *at);
     if (!warm) note("processor-started " + name(place));
   }
   void stopProcessor(int place) {
     auto& at = processors_[static_cast<std::size_t>(place)];
     if (at == nullptr) return;
-    stage_.remove(processorIdentity(place));
+    testbed_.remove(processorIdentity(place));
     fallenBefore_ += at->fallen();
     // Its coroutines may still be about to end.
-    stage_.at(stage_.now() + Span::ms(5), [gone = std::shared_ptr<ExchangeStandIn>(std::move(at))] {});
+    testbed_.at(testbed_.now() + Span::ms(5), [gone = std::shared_ptr<SimulatedExchange>(std::move(at))] {});
   }
   void learns(int place, Readiness readiness, Span notice) {
     const auto& at = processors_[static_cast<std::size_t>(place)];
     if (at != nullptr) marks_[place] = at->mark();
-    directory_->learns(stage_.now(), place, readiness, marks_[place], notice);
-    stage_.nudge(kDirectory);
+    directory_->learns(testbed_.now(), place, readiness, marks_[place], notice);
+    testbed_.wakeUp(kDirectory);
   }
   /// Dies now, is back cold after `down`.
   void crash(int place, Span down) {
     stopProcessor(place);
     learns(place, Readiness::gone, plan_.notice);
-    stage_.at(stage_.now() + down, [this, place] {
+    testbed_.at(testbed_.now() + down, [this, place] {
       if (processors_[static_cast<std::size_t>(place)] != nullptr) return;
       startProcessor(place, false);
       learns(place, Readiness::ready, plan_.notice * 0.5);
@@ -267,33 +268,33 @@
 
   // ---- Troubles
 
-  void strike(const Trouble& one) {
+  void strike(const Fault& one) {
     std::string whom;
     for (const int place : one.places) whom += " " + name(place);
     tell(one.words + (whom.empty() ? "" : " at" + whom));
     note("trouble " + one.words);
-    const Instant end = stage_.now() + one.lasts;
-    const auto later = [&](std::function<void()> what) { stage_.at(end, std::move(what)); };
+    const Instant end = testbed_.now() + one.lasts;
+    const auto later = [&](std::function<void()> what) { testbed_.at(end, std::move(what)); };
     switch (one.kind) {
-      case Trouble::Kind::hang:
+      case Fault::Kind::hang:
         each(one, [&](int place) {
-          processor(place).hang(stage_.now(), true);
-          later([this, place] { whileUp(place, [&] { processor(place).hang(stage_.now(), false); }); });
+          processor(place).hang(testbed_.now(), true);
+          later([this, place] { whileUp(place, [&] { processor(place).hang(testbed_.now(), false); }); });
         });
         break;
-      case Trouble::Kind::slow:
+      case Fault::Kind::slow:
         each(one, [&](int place) {
           processor(place).slow(one.size);
           later([this, place] { whileUp(place, [&] { processor(place).slow(1); }); });
         });
         break;
-      case Trouble::Kind::age:
+      case Fault::Kind::age:
         each(one, [&](int place) { age(place, Span::ms(one.size), end, 1, processor(place).mark()); });
         break;
-      case Trouble::Kind::crash:
+      case Fault::Kind::crash:
         each(one, [&](int place) { crash(place, one.lasts); });
         break;
-      case Trouble::Kind::vanish:
+      case Fault::Kind::vanish:
         // The directory takes longer to see that a machine is gone than that a process is.
         each(one, [&](int place) {
           stopProcessor(place);
@@ -306,7 +307,7 @@
           });
         });
         break;
-      case Trouble::Kind::replace:
+      case Fault::Kind::replace:
         each(one, [&](int place) {
           learns(place, Readiness::draining, kDirectoryPath);
           later([this, place] {
@@ -318,44 +319,44 @@
           });
         });
         break;
-      case Trouble::Kind::cut:
-        each(one, [&](int place) { processor(place).lose(stage_.now(), one.size); });
-        for (const int place : one.places) stage_.nudge(processorIdentity(place));
+      case Fault::Kind::cut:
+        each(one, [&](int place) { processor(place).lose(testbed_.now(), one.size); });
+        for (const int place : one.places) testbed_.wakeUp(processorIdentity(place));
         break;
-      case Trouble::Kind::freeze:
+      case Fault::Kind::freeze:
         for (const int place : one.places) {
           if (down_.contains(place) || !frozen_.insert(place).second) continue;
           note("freeze " + name(place));
-          stage_.freezeOffice(place, true);
+          testbed_.freezeOffice(place, true);
           later([this, place] {
             if (frozen_.erase(place) == 0) return;
-            stage_.freezeOffice(place, false);
+            testbed_.freezeOffice(place, false);
             note("thaw " + name(place));
           });
         }
         break;
-      case Trouble::Kind::kill:
+      case Fault::Kind::kill:
         for (const int place : one.places) {
           if (!down_.insert(place).second) continue;
-          if (frozen_.erase(place) > 0) stage_.freezeOffice(place, false);
+          if (frozen_.erase(place) > 0) testbed_.freezeOffice(place, false);
           note("kill " + name(place));
-          stage_.killOffice(place);
+          testbed_.killOffice(place);
           later([this, place] {
             note("start " + name(place));
-            stage_.startOffice(place, plan_.seed + static_cast<std::uint64_t>(place) + 1000);
+            testbed_.startOffice(place, plan_.seed + static_cast<std::uint64_t>(place) + 1000);
             down_.erase(place);
             tell("office " + name(place) + " started again");
           });
         }
         break;
-      case Trouble::Kind::network:
+      case Fault::Kind::network:
         faults_.push_back(&one);
         later([this, &one] { std::erase(faults_, &one); });
         break;
-      case Trouble::Kind::directory:
+      case Fault::Kind::directory:
         directory_->failUntil(end);
         break;
-      case Trouble::Kind::budget:
+      case Fault::Kind::budget:
         for (zones::Budget& budget : fleet_.budgets) {
           if (budget.from != one.from || budget.to != one.to) continue;
           budget.circuits = static_cast<int>(one.size);
@@ -367,55 +368,55 @@
             if (share.most) share.most = std::max(*share.most, share.guaranteed);
           }
         }
-        changes_.push_back({stage_.now(), one.from, one.to, static_cast<int>(one.size)});
-        stage_.budgets(fleet_.budgets);
+        changes_.push_back({testbed_.now(), one.from, one.to, static_cast<int>(one.size)});
+        testbed_.budgets(fleet_.budgets);
         break;
-      case Trouble::Kind::loseCircuits:
+      case Fault::Kind::loseCircuits:
         loseCircuits(one, one.size);
         later([this, &one] { loseCircuits(one, 1); });
         break;
-      case Trouble::Kind::burst:
-      case Trouble::Kind::hotCaller:
-      case Trouble::Kind::massCall:
+      case Fault::Kind::burst:
+      case Fault::Kind::hotCaller:
+      case Fault::Kind::massCall:
         break;  // in the traffic already
     }
   }
 
   template <typename What>
-  void each(const Trouble& one, What what) {
+  void each(const Fault& one, What what) {
     for (const int place : one.places) whileUp(place, [&] { what(place); });
   }
   template <typename What>
   void whileUp(int place, What what) {
     if (processors_[static_cast<std::size_t>(place)] == nullptr) return;
     what();
-    stage_.nudge(processorIdentity(place));
+    testbed_.wakeUp(processorIdentity(place));
   }
 
   void age(int place, Span doubling, Instant end, double times, std::uint64_t mark) {
     const auto& at = processors_[static_cast<std::size_t>(place)];
     if (at == nullptr || at->mark() != mark) return;
-    if (stage_.now() >= end) return crash(place, Span::ms(1000));
+    if (testbed_.now() >= end) return crash(place, Span::ms(1000));
     at->slow(times);
-    stage_.at(std::min(end, stage_.now() + doubling),
-              [this, place, doubling, end, times, mark] { age(place, doubling, end, times * 2, mark); });
+    testbed_.at(std::min(end, testbed_.now() + doubling),
+                [this, place, doubling, end, times, mark] { age(place, doubling, end, times * 2, mark); });
   }
 
-  void loseCircuits(const Trouble& one, double keep) {
+  void loseCircuits(const Fault& one, double keep) {
     for (const Group& group : fleet_.groups) {
       const auto inside = [&](int place) {
         return std::find(one.places.begin(), one.places.end(), place) != one.places.end();
       };
       if (inside(group.a) == inside(group.b) && one.places.size() > 1) continue;
       if (!inside(group.a) && !inside(group.b)) continue;
-      directory_->resized(stage_.now(), {group.a, group.b, static_cast<int>(std::ceil(keep * group.circuits))});
+      directory_->resized(testbed_.now(), {group.a, group.b, static_cast<int>(std::ceil(keep * group.circuits))});
     }
-    stage_.nudge(kDirectory);
+    testbed_.wakeUp(kDirectory);
   }
 
   // ---- The network
 
-  std::vector<Span> fate(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+  std::vector<Span> impairment(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     const auto a = placeOf_.find(from), b = placeOf_.find(to);
     const bool between = a != placeOf_.end() && b != placeOf_.end();
     Span base = Span::ms(0.5);                                    // callers sit beside their office
@@ -429,7 +430,7 @@
     if (from == kDirectory || to == kDirectory) base = kDirectoryPath;
     double loss = plan_.network.loss, twice = 0, late = 0, cutShort = 0;
     Span lateBy;
-    for (const Trouble* fault : faults_) {
+    for (const Fault* fault : faults_) {
       if (!fault->others.empty()) {
         const auto in = [&](const std::vector<int>& side, auto it) {
           return it != placeOf_.end() && std::find(side.begin(), side.end(), it->second) != side.end();
@@ -459,17 +460,17 @@
   }
 
   const DayPlan& plan_;
-  Stage& stage_;
+  Testbed& testbed_;
   capture::Writer capture_;
   std::mt19937_64 chance_;
   Fleet fleet_;  // with identities for addresses
-  Callers callers_;
-  std::unique_ptr<DirectoryStandIn> directory_;
-  std::vector<std::unique_ptr<ExchangeStandIn>> processors_;
+  SimulatedCallers callers_;
+  std::unique_ptr<SimulatedDirectory> directory_;
+  std::vector<std::unique_ptr<SimulatedExchange>> processors_;
   std::map<iax2::Address, int> placeOf_;
   std::map<int, std::uint64_t> marks_;
   std::set<int> frozen_, down_;
-  std::vector<const Trouble*> faults_;
+  std::vector<const Fault*> faults_;
   std::vector<std::string> told_;
   struct Change {
     Instant at;
@@ -491,21 +492,21 @@
   return value > 0 ? earned / value : 0;
 }
 
-Report play(const DayPlan& plan, Stage& stage, const std::string& capturePath) {
-  auto player = std::make_unique<Player>(plan, stage, capturePath);
+Report play(const DayPlan& plan, Testbed& testbed, const std::string& capturePath) {
+  auto player = std::make_unique<Player>(plan, testbed, capturePath);
   Report report = player->play(capturePath);
   // Stations leave before they are destroyed.
-  stage.remove(kCallers);
-  stage.remove(kDirectory);
-  for (std::size_t i = 0; i < plan.fleet.places.size(); ++i) stage.remove(processorIdentity(static_cast<int>(i)));
-  stage.runUntil(stage.now() + Span::ms(20));
+  testbed.remove(kCallers);
+  testbed.remove(kDirectory);
+  for (std::size_t i = 0; i < plan.fleet.places.size(); ++i) testbed.remove(processorIdentity(static_cast<int>(i)));
+  testbed.runUntil(testbed.now() + Span::ms(20));
   return report;
 }
 
 std::string describe(const Report& r) {
   std::ostringstream out;
   out << "day " << r.day << " (simulated exchanges and callers)\n\n";
-  for (const std::string& one : r.troubles) out << "  " << one << '\n';
+  for (const std::string& one : r.faults) out << "  " << one << '\n';
   out << '\n' << std::left << std::setw(18) << "service" << std::right;
   for (const char* head : {"offered", "stood", "late", "refused", "failed", "cut", "tries", "value"}) {
     out << std::setw(9) << head;
@@ -589,10 +590,10 @@
   for (const auto& s : r.seconds)
     seconds.push_back(s.value > 0 ? json::value(s.earned / s.value) : json::value(nullptr));
   out["by_second"] = std::move(seconds);
-  json::array troubles, disagree, offices, zones, crossings, series;
+  json::array faults, disagree, offices, zones, crossings, series;
   for (const auto& one : r.series) series.push_back(json::parse(one));
   out["series"] = std::move(series);
-  for (const auto& one : r.troubles) troubles.emplace_back(one);
+  for (const auto& one : r.faults) faults.emplace_back(one);
   for (const auto& one : r.disagree) disagree.emplace_back(one);
   for (const auto& one : r.offices) offices.push_back(one.empty() ? json::value(nullptr) : json::parse(one));
   for (const auto& one : r.zones) zones.push_back(one.empty() ? json::value(nullptr) : json::parse(one));
@@ -600,7 +601,7 @@
   out["zones"] = std::move(zones);
   out["crossings_differ"] = std::move(crossings);
   out["crossings_checked"] = r.crossingsChecked;
-  out["troubles"] = std::move(troubles);
+  out["troubles"] = std::move(faults);
   out["disagree"] = std::move(disagree);
   out["offices"] = std::move(offices);
   out["audit"] = json::parse(audit::json(r.findings));
--- a/src/day/play.hpp
+++ b/src/day/play.hpp
@@ -14,12 +14,12 @@
 struct Report {
   std::string day;
   std::vector<std::string> services;
-  std::vector<Callers::Served> served;
-  std::vector<Callers::Second> seconds;
+  std::vector<SimulatedCallers::Served> served;
+  std::vector<SimulatedCallers::Second> seconds;
   std::map<int, std::uint64_t> refusals;  // by cause code
   double p50 = 0, p99 = 0;                // post-dial delay in ms of sessions that stood
   std::vector<std::string> offices;       // each office's own account, JSON; empty where it gave none
-  std::vector<std::string> troubles;      // what happened when, in order
+  std::vector<std::string> faults;        // what happened when, in order
   std::vector<std::string> zones;         // each office's account of what crossed zones, JSON; empty where it gave none
   std::vector<std::string> series;        // of these, by second and zone, JSON
   std::vector<std::string> crossings;     // where these accounts and the capture differ
@@ -38,8 +38,8 @@
   }
 };
 
-/// The capture is written to `capturePath`. Throws StageFault or std::runtime_error.
-Report play(const DayPlan& plan, Stage& stage, const std::string& capturePath);
+/// The capture is written to `capturePath`. Throws TestbedError or std::runtime_error.
+Report play(const DayPlan& plan, Testbed& testbed, const std::string& capturePath);
 
 std::string describe(const Report& report);
 std::string json(const Report& report);
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -12,9 +12,9 @@
 
 using settings::Fields;
 using settings::Form;
-using settings::Word;
+using settings::Keyword;
 
-constexpr Word kDay[] = {
+constexpr Keyword kDay[] = {
     {"fleet", "(fleet ...) or a file", "", "the fleet; its addresses are given out by the day"},
     {"seed", "a whole number", "1", "all chance of the day begins here"},
     {"length", "milliseconds", "30000", "callers dial for so long"},
@@ -26,7 +26,7 @@
 };
 constexpr std::string_view kDayMany[] = {"at"};
 
-constexpr Word kCallers[] = {
+constexpr Keyword kCallers[] = {
     {"rate", "sessions a second", "30", "first tries of all callers together"},
     {"share", "(share SERVICE NUMBER)", "", "weight of a service; 1 where not given; several"},
     {"shape", "steady, wave or ramp", "steady", "how the rate goes over the day"},
@@ -40,14 +40,14 @@
 };
 constexpr std::string_view kCallersMany[] = {"share"};
 
-constexpr Word kProcessor[] = {
+constexpr Keyword kProcessor[] = {
     {"follow-work", "a share", "0.35", "work of an answer, and of a release, against a set-up"},
     {"turn-away-work", "a share", "0.2", "work of turning a set-up away, against a set-up"},
     {"longest-wait", "milliseconds", "1500", "set-ups are turned away when the line is longer"},
     {"lines", "a whole number", "4", "lines of the number that mass calls dial"},
 };
 
-constexpr Word kNetwork[] = {
+constexpr Keyword kNetwork[] = {
     {"same-zone", "milliseconds", "4", "one way"},
     {"cross-zone", "milliseconds", "12", "one way"},
     {"jitter", "a share", "0.2", "of the delay, at most"},
@@ -55,7 +55,7 @@
 };
 
 struct Verb {
-  Trouble::Kind kind;
+  Fault::Kind kind;
   const char* word;
   const char* form;  // how it is written
   const char* means;
@@ -63,38 +63,38 @@
 
 // WHERE: an exchange's name, all, (any N) or (zone NAME).
 constexpr Verb kVerbs[] = {
-    {Trouble::Kind::hang, "hang", "(hang WHERE LASTS)", "processors take set-ups and answer none"},
-    {Trouble::Kind::slow, "slow", "(slow WHERE LASTS TIMES)", "processors are that many times slower"},
-    {Trouble::Kind::age, "age", "(age WHERE LASTS DOUBLING)", "twice as slow every DOUBLING ms, then a crash"},
-    {Trouble::Kind::crash, "crash", "(crash WHERE LASTS)", "processors die at once and come back cold"},
-    {Trouble::Kind::vanish, "vanish", "(vanish WHERE LASTS)", "nothing comes from them, then they come back cold"},
-    {Trouble::Kind::replace, "replace", "(replace WHERE DRAINS)", "drained, then a cold processor in place of the old"},
-    {Trouble::Kind::cut, "cut", "(cut WHERE SHARE)", "standing sessions are cut and their callers return"},
-    {Trouble::Kind::freeze, "freeze", "(freeze WHERE LASTS)", "offices stand still"},
-    {Trouble::Kind::kill, "kill", "(kill WHERE LASTS)", "offices are killed and started anew"},
-    {Trouble::Kind::burst, "burst", "(burst LASTS TIMES)", "all callers dial that much more"},
-    {Trouble::Kind::hotCaller, "hot-caller", "(hot-caller WHERE LASTS TIMES)", "callers of some offices dial more"},
-    {Trouble::Kind::network, "network",
+    {Fault::Kind::hang, "hang", "(hang WHERE LASTS)", "processors take set-ups and answer none"},
+    {Fault::Kind::slow, "slow", "(slow WHERE LASTS TIMES)", "processors are that many times slower"},
+    {Fault::Kind::age, "age", "(age WHERE LASTS DOUBLING)", "twice as slow every DOUBLING ms, then a crash"},
+    {Fault::Kind::crash, "crash", "(crash WHERE LASTS)", "processors die at once and come back cold"},
+    {Fault::Kind::vanish, "vanish", "(vanish WHERE LASTS)", "nothing comes from them, then they come back cold"},
+    {Fault::Kind::replace, "replace", "(replace WHERE DRAINS)", "drained, then a cold processor in place of the old"},
+    {Fault::Kind::cut, "cut", "(cut WHERE SHARE)", "standing sessions are cut and their callers return"},
+    {Fault::Kind::freeze, "freeze", "(freeze WHERE LASTS)", "offices stand still"},
+    {Fault::Kind::kill, "kill", "(kill WHERE LASTS)", "offices are killed and started anew"},
+    {Fault::Kind::burst, "burst", "(burst LASTS TIMES)", "all callers dial that much more"},
+    {Fault::Kind::hotCaller, "hot-caller", "(hot-caller WHERE LASTS TIMES)", "callers of some offices dial more"},
+    {Fault::Kind::network, "network",
      "(network LASTS (loss S) (twice S) (late S MS) (cut-short S) (between WHERE WHERE))",
      "datagrams are lost, doubled, late, cut short"},
-    {Trouble::Kind::directory, "directory", "(directory LASTS)", "the directory says nothing"},
-    {Trouble::Kind::loseCircuits, "lose-circuits", "(lose-circuits WHERE LASTS KEEP)",
+    {Fault::Kind::directory, "directory", "(directory LASTS)", "the directory says nothing"},
+    {Fault::Kind::loseCircuits, "lose-circuits", "(lose-circuits WHERE LASTS KEEP)",
      "groups between these and other zones keep that share of their circuits"},
-    {Trouble::Kind::massCall, "mass-call", "(mass-call WHERE LASTS SHARE)",
+    {Fault::Kind::massCall, "mass-call", "(mass-call WHERE LASTS SHARE)",
      "that share of all sessions dials one number there"},
-    {Trouble::Kind::budget, "budget", "(budget ZONE ZONE CIRCUITS)", "a budget between zones is changed in service"},
+    {Fault::Kind::budget, "budget", "(budget ZONE ZONE CIRCUITS)", "a budget between zones is changed in service"},
 };
 
 class TroubleReader {
  public:
   TroubleReader(const DayPlan& plan) : plan_(plan), chance_(plan.seed * 7919 + 17) {}
 
-  Trouble read(const Form& at) {
-    if (at.items.size() != 3) at.wrong("(at TIME (TROUBLE ...)) is expected");
-    Trouble trouble{};
-    trouble.at = Span::ms(time(at.items[1]));
+  Fault read(const Form& at) {
+    if (at.items.size() != 3) at.fail("(at TIME (TROUBLE ...)) is expected");
+    Fault fault{};
+    fault.at = Span::ms(time(at.items[1]));
     const Form& what = at.items[2];
-    if (what.head().empty()) what.wrong("a list that begins with a trouble is expected");
+    if (what.head().empty()) what.fail("a list that begins with a trouble is expected");
     const auto verb =
         std::find_if(std::begin(kVerbs), std::end(kVerbs), [&](const Verb& one) { return one.word == what.head(); });
     if (verb == std::end(kVerbs)) {
@@ -102,109 +102,109 @@
       for (const Verb& one : kVerbs) known.push_back(one.word);
       settings::unknownWord(what.items[0], what.head(), known);
     }
-    trouble.kind = verb->kind;
-    trouble.words = write(what);
+    fault.kind = verb->kind;
+    fault.words = write(what);
     const auto need = [&](std::size_t count) {
-      if (what.items.size() != count + 1) what.wrong(std::string(verb->form) + " is expected");
+      if (what.items.size() != count + 1) what.fail(std::string(verb->form) + " is expected");
     };
-    switch (trouble.kind) {
-      case Trouble::Kind::hang:
-      case Trouble::Kind::crash:
-      case Trouble::Kind::vanish:
-      case Trouble::Kind::replace:
-      case Trouble::Kind::freeze:
-      case Trouble::Kind::kill:
+    switch (fault.kind) {
+      case Fault::Kind::hang:
+      case Fault::Kind::crash:
+      case Fault::Kind::vanish:
+      case Fault::Kind::replace:
+      case Fault::Kind::freeze:
+      case Fault::Kind::kill:
         need(2);
-        trouble.places = where(what.items[1]);
-        trouble.lasts = Span::ms(settings::asNumber(what.items[2], 1, 1e8));
+        fault.places = where(what.items[1]);
+        fault.lasts = Span::ms(settings::asNumber(what.items[2], 1, 1e8));
         break;
-      case Trouble::Kind::cut:
+      case Fault::Kind::cut:
         need(2);
-        trouble.places = where(what.items[1]);
-        trouble.size = settings::asNumber(what.items[2], 0, 1);
+        fault.places = where(what.items[1]);
+        fault.size = settings::asNumber(what.items[2], 0, 1);
         break;
-      case Trouble::Kind::slow:
-      case Trouble::Kind::age:
-      case Trouble::Kind::hotCaller:
-      case Trouble::Kind::loseCircuits:
-      case Trouble::Kind::massCall: {
+      case Fault::Kind::slow:
+      case Fault::Kind::age:
+      case Fault::Kind::hotCaller:
+      case Fault::Kind::loseCircuits:
+      case Fault::Kind::massCall: {
         need(3);
-        trouble.places = where(what.items[1]);
-        trouble.lasts = Span::ms(settings::asNumber(what.items[2], 1, 1e8));
-        const bool share = trouble.kind == Trouble::Kind::loseCircuits || trouble.kind == Trouble::Kind::massCall;
-        trouble.size = settings::asNumber(what.items[3], share ? 0 : 0.01, share ? 1 : 1e6);
+        fault.places = where(what.items[1]);
+        fault.lasts = Span::ms(settings::asNumber(what.items[2], 1, 1e8));
+        const bool share = fault.kind == Fault::Kind::loseCircuits || fault.kind == Fault::Kind::massCall;
+        fault.size = settings::asNumber(what.items[3], share ? 0 : 0.01, share ? 1 : 1e6);
         break;
       }
-      case Trouble::Kind::burst:
+      case Fault::Kind::burst:
         need(2);
-        trouble.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
-        trouble.size = settings::asNumber(what.items[2], 0.01, 1000);
+        fault.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
+        fault.size = settings::asNumber(what.items[2], 0.01, 1000);
         break;
-      case Trouble::Kind::directory:
+      case Fault::Kind::directory:
         need(1);
-        trouble.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
+        fault.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
         break;
-      case Trouble::Kind::budget:
+      case Fault::Kind::budget:
         need(3);
-        budget(what, trouble);
+        budget(what, fault);
         break;
-      case Trouble::Kind::network:
-        network(what, trouble);
+      case Fault::Kind::network:
+        network(what, fault);
         break;
     }
-    return trouble;
+    return fault;
   }
 
  private:
-  void network(const Form& what, Trouble& trouble) {
-    if (what.items.size() < 3) what.wrong("(network LASTS (loss SHARE) ...) is expected");
-    trouble.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
+  void network(const Form& what, Fault& fault) {
+    if (what.items.size() < 3) what.fail("(network LASTS (loss SHARE) ...) is expected");
+    fault.lasts = Span::ms(settings::asNumber(what.items[1], 1, 1e8));
     for (std::size_t i = 2; i < what.items.size(); ++i) {
       const Form& one = what.items[i];
       const std::string_view word = one.head();
       const auto share = [&](std::size_t count) {
         if (one.items.size() != count)
-          one.wrong("(" + std::string(word) + " SHARE" + (count > 2 ? " MS" : "") + ") is expected");
+          one.fail("(" + std::string(word) + " SHARE" + (count > 2 ? " MS" : "") + ") is expected");
         return settings::asNumber(one.items[1], 0, 1);
       };
       if (word == "loss") {
-        trouble.loss = share(2);
+        fault.loss = share(2);
       } else if (word == "twice") {
-        trouble.twice = share(2);
+        fault.twice = share(2);
       } else if (word == "cut-short") {
-        trouble.cutShort = share(2);
+        fault.cutShort = share(2);
       } else if (word == "late") {
-        trouble.late = share(3);
-        trouble.lateBy = Span::ms(settings::asNumber(one.items[2], 0, 1e5));
+        fault.late = share(3);
+        fault.lateBy = Span::ms(settings::asNumber(one.items[2], 0, 1e5));
       } else if (word == "between") {
-        if (one.items.size() != 3) one.wrong("(between WHERE WHERE) is expected");
-        trouble.places = where(one.items[1]);
-        trouble.others = where(one.items[2]);
+        if (one.items.size() != 3) one.fail("(between WHERE WHERE) is expected");
+        fault.places = where(one.items[1]);
+        fault.others = where(one.items[2]);
       } else {
         settings::unknownWord(one, word, {"loss", "twice", "late", "cut-short", "between"});
       }
     }
   }
 
-  void budget(const Form& what, Trouble& trouble) {
+  void budget(const Form& what, Fault& fault) {
     const auto names = plan_.fleet.zones();
-    int* const ends[] = {&trouble.from, &trouble.to};
+    int* const ends[] = {&fault.from, &fault.to};
     for (std::size_t i = 0; i < 2; ++i) {
       *ends[i] = plan_.fleet.zone(settings::asText(what.items[i + 1]));
       if (*ends[i] < 0) settings::unknownWord(what.items[i + 1], what.items[i + 1].value, {names.begin(), names.end()});
     }
     const auto& budgets = plan_.fleet.budgets;
     if (std::none_of(budgets.begin(), budgets.end(),
-                     [&](const zones::Budget& one) { return one.from == trouble.from && one.to == trouble.to; })) {
-      what.wrong("the fleet has no budget from " + what.items[1].value + " to " + what.items[2].value);
+                     [&](const zones::Budget& one) { return one.from == fault.from && one.to == fault.to; })) {
+      what.fail("the fleet has no budget from " + what.items[1].value + " to " + what.items[2].value);
     }
-    trouble.size = settings::asNumber(what.items[3], 0, 1e6);
-    if (trouble.size != static_cast<int>(trouble.size)) what.items[3].wrong("a whole number of circuits is expected");
+    fault.size = settings::asNumber(what.items[3], 0, 1e6);
+    if (fault.size != static_cast<int>(fault.size)) what.items[3].fail("a whole number of circuits is expected");
   }
 
   double time(const Form& form) {
     if (form.head() != "between") return settings::asNumber(form, 0, 1e9);
-    if (form.items.size() != 3) form.wrong("(between FROM TO) is expected");
+    if (form.items.size() != 3) form.fail("(between FROM TO) is expected");
     const double from = settings::asNumber(form.items[1], 0, 1e9);
     const double to = settings::asNumber(form.items[2], from, 1e9);
     return from + (to - from) * std::generate_canonical<double, 32>(chance_);
@@ -226,10 +226,10 @@
       if (form.items.size() == 2 && form.head() == "zone") {
         const std::string zone = settings::asText(form.items[1]);
         std::erase_if(all, [&](int i) { return places[static_cast<std::size_t>(i)].zone != zone; });
-        if (all.empty()) form.items[1].wrong("no exchange is in zone '" + zone + "'");
+        if (all.empty()) form.items[1].fail("no exchange is in zone '" + zone + "'");
         return all;
       }
-      form.wrong("an exchange's name, all, (any N) or (zone NAME) is expected");
+      form.fail("an exchange's name, all, (any N) or (zone NAME) is expected");
     }
     if (form.value == "all") return all;
     const int place = plan_.fleet.place(form.value);
@@ -260,17 +260,17 @@
   }
   plan.swing = f.number("swing", 0, 1);
   plan.pairSpread = f.number("pair-spread", 0, 5);
-  plan.habit.redials = f.whole("redials", 0, 20);
-  plan.habit.backoff = Span::ms(f.number("backoff", 1, 1e6));
-  plan.habit.honour = f.number("honour", 0, 1);
-  plan.habit.tryShare = f.number("try-share", 0.01, 1);
-  plan.habit.returnsWithin = Span::ms(f.number("returns-within", 0, 1e6));
+  plan.behaviour.redials = f.whole("redials", 0, 20);
+  plan.behaviour.backoff = Span::ms(f.number("backoff", 1, 1e6));
+  plan.behaviour.honour = f.number("honour", 0, 1);
+  plan.behaviour.tryShare = f.number("try-share", 0.01, 1);
+  plan.behaviour.returnsWithin = Span::ms(f.number("returns-within", 0, 1e6));
   for (const Form* share : f.all("share")) {
-    if (share->items.size() != 3) share->wrong("(share SERVICE NUMBER) is expected");
+    if (share->items.size() != 3) share->fail("(share SERVICE NUMBER) is expected");
     const int service = plan.fleet.service(settings::asText(share->items[1]));
     if (service < 0) {
       std::vector<std::string_view> known;
-      for (const Offer& offer : plan.fleet.offers) known.push_back(offer.name);
+      for (const OfferedService& offer : plan.fleet.offeredServices) known.push_back(offer.name);
       settings::unknownWord(share->items[1], share->items[1].value, known);
     }
     plan.shares[static_cast<std::size_t>(service)] = settings::asNumber(share->items[2], 0, 1e6);
@@ -280,8 +280,8 @@
 }  // namespace
 
 DayPlan readDay(const Form& form, const std::string& folder) {
-  if (form.head() != "day") form.wrong("(day NAME ...) is expected");
-  if (form.items.size() < 2 || form.items[1].isList()) form.wrong("the day's name is expected first");
+  if (form.head() != "day") form.fail("(day NAME ...) is expected");
+  if (form.items.size() < 2 || form.items[1].isList()) form.fail("the day's name is expected first");
   const Fields f(form, 2, kDay, kDayMany);
   DayPlan plan;
   plan.name = form.items[1].value;
@@ -295,7 +295,7 @@
   plan.seed = static_cast<std::uint64_t>(f.number("seed", 0, 9e15));
   plan.length = Span::ms(f.number("length", 100, 1e8));
   plan.notice = Span::ms(f.number("notice", 0, 1e6));
-  plan.shares.assign(plan.fleet.offers.size(), 1.0);
+  plan.shares.assign(plan.fleet.offeredServices.size(), 1.0);
   if (const Form* callers = f.find("callers")) readCallers(*callers, plan);
   Form none;
   const Form* processor = f.find("processor");
@@ -305,18 +305,18 @@
   plan.processor.turnAwayWork = p.number("turn-away-work", 0, 100);
   plan.processor.longestWait = Span::ms(p.number("longest-wait", 0, 1e6));
   plan.lines = p.whole("lines", 1, 100000);
-  plan.processor.coldFrom = plan.fleet.data.coldFrom;
-  plan.processor.warmAfter = plan.fleet.data.warmAfter;
-  plan.processor.fallMultiple = plan.fleet.data.fallMultiple;
-  plan.processor.tipAfter = plan.fleet.data.tipAfter;
+  plan.processor.coldCapacityShare = plan.fleet.data.coldCapacityShare;
+  plan.processor.warmUpTime = plan.fleet.data.warmUpTime;
+  plan.processor.overloadFactor = plan.fleet.data.overloadFactor;
+  plan.processor.overloadWindow = plan.fleet.data.overloadWindow;
   const Form* network = f.find("network");
   const Fields n(network == nullptr ? none : *network, 1, kNetwork);
   plan.network.sameZone = Span::ms(n.number("same-zone", 0, 1e4));
   plan.network.crossZone = Span::ms(n.number("cross-zone", 0, 1e4));
   plan.network.jitter = n.number("jitter", 0, 10);
   plan.network.loss = n.number("loss", 0, 1);
-  TroubleReader troubles(plan);
-  for (const Form* at : f.all("at")) plan.troubles.push_back(troubles.read(*at));
+  TroubleReader faults(plan);
+  for (const Form* at : f.all("at")) plan.faults.push_back(faults.read(*at));
   return plan;
 }
 
@@ -329,7 +329,7 @@
   return fleet.places[static_cast<std::size_t>(place)].numbers + "0000";
 }
 
-std::vector<Dial> traffic(const DayPlan& plan) {
+std::vector<PlannedCall> traffic(const DayPlan& plan) {
   std::mt19937_64 chance(plan.seed);
   const auto lot = [&] { return std::generate_canonical<double, 53>(chance); };
   const std::size_t count = plan.fleet.places.size();
@@ -350,7 +350,7 @@
     }
   }
   std::vector<double> offices(count, 1.0);
-  const auto during = [](const Trouble& one, Span at) { return at >= one.at && at < one.at + one.lasts; };
+  const auto during = [](const Fault& one, Span at) { return at >= one.at && at < one.at + one.lasts; };
   const auto rateAt = [&](Span at) {
     double rate = plan.rate;
     const double part = at / plan.length;
@@ -365,10 +365,10 @@
       break;
     }
     offices = usual;
-    for (const Trouble& one : plan.troubles) {
+    for (const Fault& one : plan.faults) {
       if (!during(one, at)) continue;
-      if (one.kind == Trouble::Kind::burst) rate *= one.size;
-      if (one.kind != Trouble::Kind::hotCaller) continue;
+      if (one.kind == Fault::Kind::burst) rate *= one.size;
+      if (one.kind != Fault::Kind::hotCaller) continue;
       for (const int place : one.places) offices[static_cast<std::size_t>(place)] *= one.size;
     }
     double sum = 0;
@@ -377,8 +377,8 @@
   };
   double most = plan.rate * (1 + plan.swing);
   for (const auto& knot : plan.knots) most = std::max(most, plan.rate * knot.second);
-  for (const Trouble& one : plan.troubles) {
-    if (one.kind == Trouble::Kind::burst || one.kind == Trouble::Kind::hotCaller) most *= std::max(1.0, one.size);
+  for (const Fault& one : plan.faults) {
+    if (one.kind == Fault::Kind::burst || one.kind == Fault::Kind::hotCaller) most *= std::max(1.0, one.size);
   }
   const auto draw = [&](const double* weights, std::size_t size) {
     double sum = 0;
@@ -389,11 +389,11 @@
     }
     return size - 1;
   };
-  std::vector<Dial> dials;
+  std::vector<PlannedCall> dials;
   // Thinning of a Poisson process at the highest rate.
   for (Span at; (at = at + Span::ms(-std::log(1 - lot()) * 1000 / most)) < plan.length;) {
     if (lot() * most > rateAt(at)) continue;
-    Dial dial;
+    PlannedCall dial;
     dial.at = Instant() + at;
     dial.office = static_cast<int>(draw(offices.data(), count));
     dial.service = static_cast<int>(draw(plan.shares.data(), plan.shares.size()));
@@ -401,8 +401,8 @@
     dial.number = plan.fleet.places[to].numbers + std::to_string(10001 + static_cast<int>(lot() * 9999)).substr(1);
     const Service& service = plan.fleet.data.services[static_cast<std::size_t>(dial.service)];
     dial.hold = service.meanHold * std::min(4.0, -std::log(1 - lot()));
-    for (const Trouble& one : plan.troubles) {
-      if (one.kind != Trouble::Kind::massCall || !during(one, at) || lot() >= one.size) continue;
+    for (const Fault& one : plan.faults) {
+      if (one.kind != Fault::Kind::massCall || !during(one, at) || lot() >= one.size) continue;
       const int called = one.places[static_cast<std::size_t>(lot() * static_cast<double>(one.places.size()))];
       if (called != dial.office) dial.number = massCalled(plan.fleet, called);
     }
--- a/src/day/script.hpp
+++ b/src/day/script.hpp
@@ -13,7 +13,7 @@
 
 namespace thistlefold::day {
 
-struct Trouble {
+struct Fault {
   enum class Kind {
     hang,
     slow,
@@ -57,7 +57,7 @@
   Fleet fleet;
   Network network;
   ProcessorModel processor;
-  CallerHabit habit;
+  CallerBehaviour behaviour;
   double rate = 30;  // sessions a second, all callers
   std::string shape = "steady";
   std::vector<std::pair<Span, double>> knots;  // shape "given": the rate goes straight between these, by time
@@ -67,15 +67,15 @@
   std::vector<double> shares;    // of the services
   Span notice = Span::ms(2000);  // how late the directory is
   int lines = 4;                 // of a mass-called number
-  std::vector<Trouble> troubles;
+  std::vector<Fault> faults;
 };
 
-/// Throws settings::Wrong.
+/// Throws settings::SettingsError.
 DayPlan readDay(const settings::Form& form, const std::string& folder);
 DayPlan openDay(const std::string& path);
 
 /// All that is dialled on that day, drawn from its seed: the same for the same plan.
-std::vector<Dial> traffic(const DayPlan& plan);
+std::vector<PlannedCall> traffic(const DayPlan& plan);
 
 void explainDay(std::ostream& out);
 
--- a/src/day/testbed.hpp
+++ b/src/day/testbed.hpp
@@ -25,27 +25,27 @@
 inline constexpr iax2::Address kDirectory{0x7f030001, 4570};
 inline constexpr iax2::Address kCallers{0x7f040001, 4569};
 
-struct StageFault : std::runtime_error {
+struct TestbedError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Stage {
+class Testbed {
  public:
-  virtual ~Stage() = default;
+  virtual ~Testbed() = default;
   virtual Instant now() const = 0;
   /// How exact the capture's stamps are.
-  virtual audit::Slack slack() const { return {}; }
+  virtual audit::Tolerance tolerance() const { return {}; }
   /// What becomes of a datagram between two identities. Set before anything is placed.
-  virtual void fate(net::Fate fate) = 0;
-  virtual void tap(net::MemoryNetwork::Tap tap) = 0;
+  virtual void setImpairment(net::Impairment impairment) = 0;
+  virtual void setTap(net::MemoryNetwork::Tap tap) = 0;
   /// The fleet as stations on this stage must see it: with addresses that reach the others.
   virtual const Fleet& fleet() const = 0;
-  /// Puts a stand-in at an identity; the station must live until removed. Throws StageFault.
-  virtual void place(iax2::Address identity, Station& station) = 0;
+  /// Puts a stand-in at an identity; the station must live until removed. Throws TestbedError.
+  virtual void place(iax2::Address identity, DatagramHandler& handler) = 0;
   /// Nothing reaches it any more, nothing comes from it.
   virtual void remove(iax2::Address identity) = 0;
   /// After a station was changed from outside its turn.
-  virtual void nudge(iax2::Address identity) = 0;
+  virtual void wakeUp(iax2::Address identity) = 0;
 
   virtual void startOffice(int place, std::uint64_t seed) = 0;
   virtual void killOffice(int place) = 0;
@@ -62,9 +62,9 @@
 };
 
 /// `fleet` must outlive the stage. `make` is what offices take for a controller.
-std::unique_ptr<Stage> virtualStage(Fleet fleet, MakeController make = openOffice);
+std::unique_ptr<Testbed> virtualTestbed(Fleet fleet, ControllerFactory make = makeController);
 
 /// `program` is run as `program serve FILE` for each office; files go to `folder`.
-std::unique_ptr<Stage> loopbackStage(Fleet fleet, std::string program, std::string folder);
+std::unique_ptr<Testbed> loopbackTestbed(Fleet fleet, std::string program, std::string folder);
 
 }  // namespace thistlefold::day
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -19,15 +19,15 @@
 
 namespace {
 
-class VirtualStage final : public Stage {
+class VirtualTestbed final : public Testbed {
  public:
-  VirtualStage(Fleet fleet, MakeController make)
+  VirtualTestbed(Fleet fleet, ControllerFactory make)
       : fleet_(identified(std::move(fleet))), make_(std::move(make)), clock_(context_), network_(clock_) {}
-  ~VirtualStage() override {
+  ~VirtualTestbed() override {
     // The coroutines end before what they refer to.
     for (auto& [identity, host] : hosts_) {
       host->port->close();
-      host->attendance.reset();
+      host->runner.reset();
     }
     context_.restart();
     context_.poll();
@@ -35,36 +35,36 @@
   }
 
   Instant now() const override { return clock_.now(); }
-  audit::Slack slack() const override { return audit::kVirtualSlack; }
-  void fate(net::Fate fate) override { network_.fate(std::move(fate)); }
-  void tap(net::MemoryNetwork::Tap tap) override { network_.tap(std::move(tap)); }
+  audit::Tolerance tolerance() const override { return audit::kVirtualTolerance; }
+  void setImpairment(net::Impairment impairment) override { network_.setImpairment(std::move(impairment)); }
+  void setTap(net::MemoryNetwork::Tap tap) override { network_.setTap(std::move(tap)); }
   const Fleet& fleet() const override { return fleet_; }
 
-  void place(iax2::Address identity, Station& station) override {
-    if (hosts_.contains(identity)) throw StageFault("two stations at " + iax2::text(identity));
+  void place(iax2::Address identity, DatagramHandler& handler) override {
+    if (hosts_.contains(identity)) throw TestbedError("two stations at " + iax2::text(identity));
     auto host = std::make_unique<Host>(clock_);
     host->port = network_.port(identity);
-    host->attendance = std::make_unique<net::Attendance>(
-        context_.get_executor(), station, *host->port, host->clock,
-        [identity](const char* what) { throw StageFault("station " + iax2::text(identity) + ": " + what); });
+    host->runner = std::make_unique<net::DatagramRunner>(
+        context_.get_executor(), handler, *host->port, host->clock,
+        [identity](const char* what) { throw TestbedError("station " + iax2::text(identity) + ": " + what); });
     hosts_[identity] = std::move(host);
   }
   void remove(iax2::Address identity) override {
     const auto it = hosts_.find(identity);
     if (it == hosts_.end()) return;
     it->second->port->close();
-    it->second->attendance.reset();
+    it->second->runner.reset();
     // The coroutines may still refer to port and clock until they have run once more.
     clock_.at(clock_.now() + Span::ms(1), [gone = std::shared_ptr<Host>(std::move(it->second))] {});
     hosts_.erase(it);
   }
-  void nudge(iax2::Address identity) override {
+  void wakeUp(iax2::Address identity) override {
     const auto it = hosts_.find(identity);
-    if (it != hosts_.end()) it->second->attendance->nudge();
+    if (it != hosts_.end()) it->second->runner->wakeUp();
   }
 
   void startOffice(int place, std::uint64_t seed) override {
-    OfficeSetting setting;
+    OfficeOptions setting;
     setting.place = place;
     setting.seed = seed;
     auto office = std::make_unique<Office>(fleet_, setting, clock_.now(), make_);
@@ -85,13 +85,13 @@
     const auto office = offices_.find(place);
     if (office == offices_.end()) return;
     office->second->stop(clock_.now());
-    nudge(officeIdentity(place));
+    wakeUp(officeIdentity(place));
   }
   void budgets(const std::vector<zones::Budget>& budgets) override {
     fleet_.budgets = budgets;
     for (const auto& [place, office] : offices_) {
       office->budgets(clock_.now(), budgets);
-      nudge(officeIdentity(place));
+      wakeUp(officeIdentity(place));
     }
   }
   std::optional<std::string> ask(int place, std::string_view question) override {
@@ -108,11 +108,11 @@
     explicit Host(net::VirtualClock& of) : clock(of) {}
     net::VirtualHost clock;
     std::unique_ptr<net::Port> port;
-    std::unique_ptr<net::Attendance> attendance;
+    std::unique_ptr<net::DatagramRunner> runner;
   };
 
   Fleet fleet_;
-  MakeController make_;
+  ControllerFactory make_;
   boost::asio::io_context context_;
   net::VirtualClock clock_;
   net::MemoryNetwork network_;
@@ -122,8 +122,8 @@
 
 }  // namespace
 
-std::unique_ptr<Stage> virtualStage(Fleet fleet, MakeController make) {
-  return std::make_unique<VirtualStage>(std::move(fleet), std::move(make));
+std::unique_ptr<Testbed> virtualTestbed(Fleet fleet, ControllerFactory make) {
+  return std::make_unique<VirtualTestbed>(std::move(fleet), std::move(make));
 }
 
 }  // namespace thistlefold::day
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-int Fleet::service(std::string_view name) const { return indexOf(offers, name); }
+int Fleet::service(std::string_view name) const { return indexOf(offeredServices, name); }
 int Fleet::place(std::string_view name) const { return indexOf(places, name); }
 
 int Fleet::destination(std::string_view called) const {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -13,8 +13,8 @@
 
 namespace thistlefold {
 
-/// How a service is dialled and how wide it is; OfficeData::services holds the rest at the same index.
-struct Offer {
+/// How a service is dialled and how wide it is; OfficeConfig::services holds the rest at the same index.
+struct OfferedService {
   std::string name;
   int width = 1;  // circuits
 };
@@ -35,8 +35,8 @@
 };
 
 struct Fleet {
-  std::vector<Offer> offers;
-  OfficeData data;
+  std::vector<OfferedService> offeredServices;
+  OfficeConfig data;
   Span drainGrace = Span::ms(500);
   std::vector<Place> places;
   std::vector<Group> groups;
--- a/src/iax2/endpoint.cpp
+++ b/src/iax2/endpoint.cpp
@@ -15,7 +15,7 @@
 // Sequence numbers are compared modulo 256; half of them count as behind (RFC 5456 section 7.1).
 int ahead(std::uint8_t a, std::uint8_t b) { return static_cast<std::int8_t>(a - b); }
 
-bool sequenced(const Head& head) {
+bool sequenced(const FrameHeader& head) {
   return !(head.is(Iax::ACK) || head.is(Iax::INVAL) || head.is(Iax::VNAK) || head.is(Iax::POKE));
 }
 
@@ -29,8 +29,8 @@
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, (now - Instant()).ms())));
 }
 
-Endpoint::Endpoint(Door& door, std::uint64_t seed, Patience patience)
-    : door_(door), patience_(patience), chance_(static_cast<std::uint32_t>(seed ^ seed >> 32) | 1u) {}
+Endpoint::Endpoint(CallListener& listener, std::uint64_t seed, DialogueTiming timing)
+    : listener_(listener), timing_(timing), chance_(static_cast<std::uint32_t>(seed ^ seed >> 32) | 1u) {}
 
 Endpoint::~Endpoint() = default;
 
@@ -38,25 +38,25 @@
   ++counts_.received;
   Frame frame;
   switch (decode(datagram, frame)) {
-    case Reading::malformed:
+    case DecodeResult::malformed:
       ++counts_.malformed;
       return;
-    case Reading::mini:
+    case DecodeResult::mini:
       ++counts_.mini;
       return;
-    case Reading::full:
+    case DecodeResult::full:
       break;
   }
   if (frame.is(Iax::POKE)) {
-    // One datagram out for one in, and the answer is longer only by what greeting() tells.
-    Head back;
+    // One datagram out for one in, and the answer is longer only by what pongElements() tells.
+    FrameHeader back;
     back.source = kPokeNumber;
     back.destination = frame.source;
     back.timestamp = frame.timestamp;
     back.subclass = static_cast<std::uint8_t>(Iax::PONG);
-    return post(from, encode(back, door_.greeting(from)));
+    return post(from, encode(back, listener_.pongElements(from)));
   }
-  if (frame.is(Iax::PONG) && frame.destination == kPokeNumber) return door_.ponged(from, frame);
+  if (frame.is(Iax::PONG) && frame.destination == kPokeNumber) return listener_.onPong(from, frame);
 
   Call* call = nullptr;
   if (frame.destination != 0) {
@@ -68,7 +68,7 @@
     const std::uint64_t hash = XXH3_64bits(datagram.data() + 4, datagram.size() - 4);
     const auto it = byRemote_.find(key(from, frame.source));
     if (it != byRemote_.end() &&
-        (it->second->newHash_ == hash || (frame.again && it->second->newStamp_ == frame.timestamp))) {
+        (it->second->newHash_ == hash || (frame.retransmitted && it->second->newStamp_ == frame.timestamp))) {
       // The same NEW again, maybe after the call has ended, maybe cut short on the way: never a second call.
       ++counts_.repeated;
       it->second->lastStamp_ = frame.timestamp;
@@ -81,7 +81,7 @@
     if (it != byRemote_.end()) {
       // The peer has taken its number anew, so it has let go of the old call.
       Call& old = *it->second;
-      if (!old.over_) finish(now, old, Gone::unknown);
+      if (!old.over_) finish(now, old, CallEnd::unknown);
       destroy(old);
     }
     call = make(now, from);
@@ -92,10 +92,10 @@
     call->iseq_ = 1;
     call->lastStamp_ = frame.timestamp;
     byRemote_[key(from, frame.source)] = call;
-    reschedule(*call, now + patience_.ping);
+    reschedule(*call, now + timing_.ping);
     call->owesAck_ = true;
     owing_.push_back(call);
-    door_.opened(*call, frame);
+    listener_.onIncomingCall(*call, frame);
     if (call->owner_ == nullptr && !call->closing_) destroy(*call);
     return;
   }
@@ -116,7 +116,7 @@
 void Endpoint::take(Instant now, Call& call, const Frame& frame) {
   if (frame.is(Iax::INVAL)) {
     ++counts_.inval;
-    if (!call.over_) finish(now, call, call.closing_ ? Gone::finished : Gone::unknown);
+    if (!call.over_) finish(now, call, call.closing_ ? CallEnd::finished : CallEnd::unknown);
     return;
   }
   // An acknowledgement of what was never sent is of another time.
@@ -132,7 +132,7 @@
     ++counts_.vnak;
     acknowledged(now, call, frame.iseq);
     for (Call::Unacknowledged& one : call.out_) {
-      markAgain(one.bytes, call.iseq_);
+      markRetransmitted(one.bytes, call.iseq_);
       ++counts_.retransmitted;
       post(call.peer_, one.bytes);
     }
@@ -166,9 +166,9 @@
   // Before the acknowledgement that it carries is looked at: what answers a HANGUP ends the call.
   if (frame.is(Iax::HANGUP) || frame.is(Iax::REJECT)) {
     if (call.over_) return;
-    if (!call.closing_ && call.owner_ != nullptr) call.owner_->heard(call, frame);
+    if (!call.closing_ && call.owner_ != nullptr) call.owner_->onFrame(call, frame);
     call.out_.clear();
-    return finish(now, call, call.closing_ ? Gone::finished : Gone::hungUp);
+    return finish(now, call, call.closing_ ? CallEnd::finished : CallEnd::hungUp);
   }
   acknowledged(now, call, frame.iseq);
   if (call.over_) return;
@@ -183,7 +183,7 @@
     which.unknownSubclass = frame.subclass;
     return send(now, call, Iax::UNSUPPORT, which);
   }
-  call.owner_->heard(call, frame);
+  call.owner_->onFrame(call, frame);
 }
 
 Call* Endpoint::open(Instant now, Address to, CallOwner* owner, const Elements& elements) {
@@ -216,7 +216,7 @@
 }
 
 void Endpoint::poke(Instant now, Address to) {
-  Head head;
+  FrameHeader head;
   head.source = kPokeNumber;
   head.timestamp = pokeStamp(now);
   head.subclass = static_cast<std::uint8_t>(Iax::POKE);
@@ -230,16 +230,16 @@
       destroy(call);
     } else if (call.out_.empty()) {
       reliable(now, call, Type::iax, static_cast<std::uint8_t>(Iax::PING), {});
-    } else if (call.repeats_ >= patience_.repeats) {
+    } else if (call.repeats_ >= timing_.repeats) {
       ++counts_.gaveUp;
-      finish(now, call, Gone::unanswered);
+      finish(now, call, CallEnd::unanswered);
     } else {
       ++call.repeats_;
-      Span gap = patience_.firstRepeat;
-      for (int i = 0; i < call.repeats_; ++i) gap = std::min(gap * 2.0, patience_.longestRepeat);
+      Span gap = timing_.firstRepeat;
+      for (int i = 0; i < call.repeats_; ++i) gap = std::min(gap * 2.0, timing_.longestRepeat);
       reschedule(call, now + gap);
       for (Call::Unacknowledged& one : call.out_) {
-        markAgain(one.bytes, call.iseq_);
+        markRetransmitted(one.bytes, call.iseq_);
         ++counts_.retransmitted;
         post(call.peer_, one.bytes);
       }
@@ -260,7 +260,7 @@
 }
 
 Call* Endpoint::make(Instant now, Address peer) {
-  if (byLocal_.size() >= patience_.mostCalls) {
+  if (byLocal_.size() >= timing_.mostCalls) {
     ++counts_.full;
     return nullptr;
   }
@@ -287,8 +287,8 @@
   return call;
 }
 
-Head Endpoint::head(Instant now, Call& call, Type type, std::uint8_t subclass) {
-  Head head;
+FrameHeader Endpoint::head(Instant now, Call& call, Type type, std::uint8_t subclass) {
+  FrameHeader head;
   head.source = call.local_;
   head.destination = call.remote_;
   head.timestamp = since(call.began_, now);
@@ -305,13 +305,13 @@
   call.owesAck_ = false;  // carried along
   if (call.out_.size() == 1) {
     call.repeats_ = 0;
-    reschedule(call, now + patience_.firstRepeat);
+    reschedule(call, now + timing_.firstRepeat);
   }
   post(call.peer_, call.out_.back().bytes);
 }
 
 void Endpoint::unreliable(Instant now, Call& call, Iax what, std::uint32_t timestamp) {
-  Head frame = head(now, call, Type::iax, static_cast<std::uint8_t>(what));
+  FrameHeader frame = head(now, call, Type::iax, static_cast<std::uint8_t>(what));
   frame.timestamp = timestamp;
   call.owesAck_ = false;
   post(call.peer_, encode(frame, {}));
@@ -330,19 +330,19 @@
   std::erase_if(call.out_, [&](const auto& one) { return ahead(upTo, one.oseq) > 0; });
   if (call.out_.size() == before) return;
   call.repeats_ = 0;
-  if (!call.out_.empty()) return reschedule(call, now + patience_.firstRepeat);
-  if (call.closing_ && !call.over_) return finish(now, call, Gone::finished);
-  if (!call.over_) reschedule(call, now + patience_.ping);
+  if (!call.out_.empty()) return reschedule(call, now + timing_.firstRepeat);
+  if (call.closing_ && !call.over_) return finish(now, call, CallEnd::finished);
+  if (!call.over_) reschedule(call, now + timing_.ping);
 }
 
-void Endpoint::finish(Instant now, Call& call, Gone how) {
+void Endpoint::finish(Instant now, Call& call, CallEnd how) {
   call.over_ = true;
   call.closing_ = true;
   call.out_.clear();
-  reschedule(call, now + patience_.linger);
+  reschedule(call, now + timing_.linger);
   CallOwner* owner = call.owner_;
   call.owner_ = nullptr;
-  if (owner != nullptr) owner->gone(call, how);
+  if (owner != nullptr) owner->onCallEnded(call, how);
 }
 
 void Endpoint::destroy(Call& call) {
@@ -356,7 +356,7 @@
 }
 
 void Endpoint::invalid(Address to, const Frame& frame) {
-  Head head;
+  FrameHeader head;
   head.source = frame.destination;
   head.destination = frame.source;
   head.timestamp = frame.timestamp;
--- a/src/iax2/endpoint.hpp
+++ b/src/iax2/endpoint.hpp
@@ -23,8 +23,8 @@
 /// What a POKE sent now carries and its PONG brings back: milliseconds of the clock, modulo 2^32.
 std::uint32_t pokeStamp(Instant now);
 
-enum class Gone {
-  hungUp,      // HANGUP or REJECT came from the far end; the frame has been passed on by heard()
+enum class CallEnd {
+  hungUp,      // HANGUP or REJECT came from the far end; the frame has been passed on by onFrame()
   finished,    // this end hung up and the far end has confirmed
   unknown,     // the far end does not know the call (INVAL)
   unanswered,  // a frame was not acknowledged after all repeats
@@ -35,20 +35,20 @@
  public:
   virtual ~CallOwner() = default;
   /// Each frame that means something to a session, once and in order.
-  virtual void heard(Call& call, const Frame& frame) = 0;
+  virtual void onFrame(Call& call, const Frame& frame) = 0;
   /// The last thing heard of a call, exactly once unless the owner let go of it before.
-  virtual void gone(Call& call, Gone how) = 0;
+  virtual void onCallEnded(Call& call, CallEnd how) = 0;
 };
 
 /// Where calls from others and answers to POKE arrive.
-class Door {
+class CallListener {
  public:
-  virtual ~Door() = default;
+  virtual ~CallListener() = default;
   /// A NEW came. Whoever takes it sets the owner; a call left without one is dropped unanswered.
-  virtual void opened(Call& call, const Frame& frame) = 0;
-  virtual void ponged(Address from, const Frame& frame) = 0;
+  virtual void onIncomingCall(Call& call, const Frame& frame) = 0;
+  virtual void onPong(Address from, const Frame& frame) = 0;
   /// What a PONG tells.
-  virtual Elements greeting(Address to) = 0;
+  virtual Elements pongElements(Address to) = 0;
 };
 
 /// One end of one call. Owned by its Endpoint.
@@ -58,7 +58,7 @@
   std::uint16_t number() const { return local_; }
   bool closing() const { return closing_; }
   bool answered() const { return remote_ != 0; }
-  void belongTo(CallOwner* owner) { owner_ = owner; }
+  void setOwner(CallOwner* owner) { owner_ = owner; }
 
  private:
   friend class Endpoint;
@@ -94,7 +94,7 @@
 
 /// Spans of the dialogue. RFC 5456 section 7 leaves first repeat and count to the implementation and bounds a
 /// gap at 10 s.
-struct Patience {
+struct DialogueTiming {
   Span firstRepeat = Span::ms(200);  // well above a cross-zone round trip of some 40 ms
   Span longestRepeat = Span::ms(1600);
   int repeats = 6;                // 200+400+800+1600+1600+1600 ms: given up after 6.2 s plus the last gap
@@ -105,7 +105,7 @@
 
 class Endpoint {
  public:
-  Endpoint(Door& door, std::uint64_t seed, Patience patience = {});
+  Endpoint(CallListener& listener, std::uint64_t seed, DialogueTiming timing = {});
   ~Endpoint();
 
   /// One datagram that came in. Calls back the door and owners.
@@ -114,9 +114,9 @@
   Call* open(Instant now, Address to, CallOwner* owner, const Elements& elements);
   void send(Instant now, Call& call, Iax what, const Elements& elements = {});
   void send(Instant now, Call& call, Control what);
-  /// Sends HANGUP (or REJECT, for a call that was not accepted). The owner still hears gone().
+  /// Sends HANGUP (or REJECT, for a call that was not accepted). The owner still hears onCallEnded().
   void hangUp(Instant now, Call& call, Iax how, const Elements& elements);
-  /// Ends the call without a word on the wire and without gone(); later frames to it are answered INVAL.
+  /// Ends the call without a word on the wire and without onCallEnded(); later frames to it are answered INVAL.
   void forget(Call& call);
   void poke(Instant now, Address to);
   /// Repeats, probes and forgets what is due.
@@ -144,13 +144,13 @@
   void reschedule(Call& call, Instant due);
   void acknowledged(Instant now, Call& call, std::uint8_t upTo);
   void take(Instant now, Call& call, const Frame& frame);
-  void finish(Instant now, Call& call, Gone how);
+  void finish(Instant now, Call& call, CallEnd how);
   void destroy(Call& call);
   void invalid(Address to, const Frame& frame);
-  Head head(Instant now, Call& call, Type type, std::uint8_t subclass);
+  FrameHeader head(Instant now, Call& call, Type type, std::uint8_t subclass);
 
-  Door& door_;
-  Patience patience_;
+  CallListener& listener_;
+  DialogueTiming timing_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Call>> byLocal_;
   std::unordered_map<std::uint64_t, Call*> byRemote_;
   struct Numbers {
--- a/src/iax2/frame.cpp
+++ b/src/iax2/frame.cpp
@@ -79,8 +79,8 @@
     case kWait:
       return take(value, into.wait);
     case kWhy:
-      if (value.size() != 1 || value[0] > static_cast<std::uint8_t>(Why::noRoute)) return false;
-      into.why = static_cast<Why>(value[0]);
+      if (value.size() != 1 || value[0] > static_cast<std::uint8_t>(ReleaseReason::noRoute)) return false;
+      into.why = static_cast<ReleaseReason>(value[0]);
       return true;
     case kBeyond:
       return take(value, into.beyond);
@@ -120,34 +120,34 @@
 
 }  // namespace
 
-Reading decode(Bytes datagram, Frame& frame) {
-  if (datagram.size() < 4 || datagram.size() > kLongest) return Reading::malformed;
-  if ((datagram[0] & 0x80) == 0) return Reading::mini;
-  if (datagram.size() < 12) return Reading::malformed;
+DecodeResult decode(Bytes datagram, Frame& frame) {
+  if (datagram.size() < 4 || datagram.size() > kMaxDatagramBytes) return DecodeResult::malformed;
+  if ((datagram[0] & 0x80) == 0) return DecodeResult::mini;
+  if (datagram.size() < 12) return DecodeResult::malformed;
   frame = Frame();
   frame.source = static_cast<std::uint16_t>(read(datagram.subspan(0, 2)) & 0x7fff);
   frame.destination = static_cast<std::uint16_t>(read(datagram.subspan(2, 2)) & 0x7fff);
-  frame.again = (datagram[2] & 0x80) != 0;
+  frame.retransmitted = (datagram[2] & 0x80) != 0;
   frame.timestamp = static_cast<std::uint32_t>(read(datagram.subspan(4, 4)));
   frame.oseq = datagram[8];
   frame.iseq = datagram[9];
   frame.type = static_cast<Type>(datagram[10]);
   // The C bit marks a power of two; only media formats need it.
   frame.subclass = datagram[11] & 0x7f;
-  if (frame.type != Type::iax) return Reading::full;  // other types carry no elements that are read here
+  if (frame.type != Type::iax) return DecodeResult::full;  // other types carry no elements that are read here
   for (Bytes rest = datagram.subspan(12); !rest.empty();) {
-    if (rest.size() < 2 || rest.size() - 2 < rest[1]) return Reading::malformed;
-    if (!takeElement(rest[0], rest.subspan(2, rest[1]), frame.elements)) return Reading::malformed;
+    if (rest.size() < 2 || rest.size() - 2 < rest[1]) return DecodeResult::malformed;
+    if (!takeElement(rest[0], rest.subspan(2, rest[1]), frame.elements)) return DecodeResult::malformed;
     rest = rest.subspan(2 + std::size_t{rest[1]});
   }
-  return Reading::full;
+  return DecodeResult::full;
 }
 
-std::vector<std::uint8_t> encode(const Head& head, const Elements& e) {
+std::vector<std::uint8_t> encode(const FrameHeader& head, const Elements& e) {
   Packer out;
   out.bytes.reserve(96);
   out.number(0x8000u | head.source, 2);
-  out.number((head.again ? 0x8000u : 0u) | head.destination, 2);
+  out.number((head.retransmitted ? 0x8000u : 0u) | head.destination, 2);
   out.number(head.timestamp, 4);
   out.bytes.push_back(head.oseq);
   out.bytes.push_back(head.iseq);
@@ -177,12 +177,12 @@
   return std::move(out.bytes);
 }
 
-void markAgain(std::vector<std::uint8_t>& encoded, std::uint8_t iseq) {
+void markRetransmitted(std::vector<std::uint8_t>& encoded, std::uint8_t iseq) {
   encoded[2] |= 0x80;
   encoded[9] = iseq;
 }
 
-std::string name(const Head& head) {
+std::string name(const FrameHeader& head) {
   struct Named {
     Type type;
     int subclass;
--- a/src/iax2/frame.hpp
+++ b/src/iax2/frame.hpp
@@ -44,7 +44,7 @@
 };
 
 /// Why a session was not set up, in the module's words; rides in a private element beside the cause code.
-enum class Why : std::uint8_t { none, noCircuit, turnedBack, processorFull, lineBusy, reset, noRoute };
+enum class ReleaseReason : std::uint8_t { none, noCircuit, turnedBack, processorFull, lineBusy, reset, noRoute };
 
 /// Information elements, RFC 5456 section 8.6, and the private ones of docs/wire.md. Text points into the
 /// datagram it was decoded from; what was absent is empty.
@@ -65,17 +65,17 @@
   std::optional<std::uint16_t> width;     // circuits
   std::optional<std::uint32_t> timeLeft;  // ms until the caller gives up
   std::optional<std::uint32_t> wait;      // ms until a full processor, or a refused caller, may come back
-  std::optional<Why> why;
+  std::optional<ReleaseReason> why;
   std::optional<bool> beyond;            // the reason lies with the exchange beyond
   std::optional<bool> wasCut;            // the caller's last session was cut
   std::optional<std::uint32_t> canTake;  // set-ups in 1000 s that the processor there can take
   std::optional<std::uint64_t> started;  // ms on the fleet's clock when the sender was started
 };
 
-struct Head {
+struct FrameHeader {
   std::uint16_t source = 0;       // 15 bits
   std::uint16_t destination = 0;  // 15 bits
-  bool again = false;             // retransmitted
+  bool retransmitted = false;     // retransmitted
   std::uint32_t timestamp = 0;    // ms since the call began
   std::uint8_t oseq = 0;
   std::uint8_t iseq = 0;
@@ -86,26 +86,26 @@
   bool is(Control what) const { return type == Type::control && subclass == static_cast<std::uint8_t>(what); }
 };
 
-struct Frame : Head {
+struct Frame : FrameHeader {
   Elements elements;
 };
 
 /// What a datagram turned out to be.
-enum class Reading { full, mini, malformed };
+enum class DecodeResult { full, mini, malformed };
 
 /// `frame` is filled in only for a full frame. Malformed: too short, an element that runs over the end, or a
 /// known element of the wrong length. Unknown elements are skipped (RFC 5456 section 8.6).
-Reading decode(Bytes datagram, Frame& frame);
+DecodeResult decode(Bytes datagram, Frame& frame);
 
-std::vector<std::uint8_t> encode(const Head& head, const Elements& elements);
+std::vector<std::uint8_t> encode(const FrameHeader& head, const Elements& elements);
 
 /// Marks an encoded full frame as retransmitted and brings its acknowledgement up to date.
-void markAgain(std::vector<std::uint8_t>& encoded, std::uint8_t iseq);
+void markRetransmitted(std::vector<std::uint8_t>& encoded, std::uint8_t iseq);
 
 /// For logs and captures: "NEW", "ANSWER", "type 7 subclass 0".
-std::string name(const Head& head);
+std::string name(const FrameHeader& head);
 
 /// The longest datagram taken; IAX2 signalling fits in one Ethernet frame.
-inline constexpr std::size_t kLongest = 1500;
+inline constexpr std::size_t kMaxDatagramBytes = 1500;
 
 }  // namespace thistlefold::iax2
--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -9,8 +9,8 @@
 namespace thistlefold::model {
 namespace {
 
-using zones::Pool;
-using zones::Word;
+using zones::LeasedBudget;
+using zones::LeaseMessage;
 
 // The far ends of a killed office's sessions cut them within a poke and a way, once it is back or silent.
 constexpr Span kFarEndsCut = Span::ms(1100);
@@ -24,14 +24,14 @@
 };
 
 struct Office {
-  std::unique_ptr<Pool> pool;
+  std::unique_ptr<LeasedBudget> pool;
   std::vector<Session> standing;
   std::uint64_t life = 0;  // changes with each start
   bool alive = true, frozen = false, parted = false;
   double clockOffset = 0, clockRate = 1;
-  double share = 1;           // of the load
-  std::vector<Word> waiting;  // came in while it stood still
-  int loweredOver = 0;        // what stood above its part when the budget was lowered, and still does
+  double share = 1;                   // of the load
+  std::vector<LeaseMessage> waiting;  // came in while it stood still
+  int loweredOver = 0;                // what stood above its part when the budget was lowered, and still does
   std::vector<int> heardHeld;
   Instant refusingSince = Instant::never();
   Instant wakeAt = Instant::never();
@@ -61,7 +61,7 @@
     }
     rate_ = day_.load * day_.circuits * all / circuitSeconds;
     at(Span::ms(2000), [this] { arrival(); });
-    for (const ZoneTrouble& one : day_.troubles) at(one.at, [this, &one] { strike(one); });
+    for (const ZoneTrouble& one : day_.faults) at(one.at, [this, &one] { strike(one); });
     if (day_.moves > Span::none()) at(day_.moves, [this] { move(); });
     while (!events_.empty() && events_.top().when <= Instant() + day_.length) {
       const Event event = events_.top();
@@ -107,7 +107,7 @@
     Office& one = office(i);
     one.alive = true;
     one.life = ++lives_;
-    one.pool = std::make_unique<Pool>(day_.kinds, i, mates_, 1, clock(one), day_.spans);
+    one.pool = std::make_unique<LeasedBudget>(day_.kinds, i, mates_, 1, clock(one), day_.spans);
     if (day_.way != Way::chance) {
       one.pool->set(clock(one), budget());
       one.pool->wait(clock(one));
@@ -139,7 +139,7 @@
 
   bool cutOff(int a, int b) { return office(a).parted != office(b).parted; }
 
-  void carry(int from, int to, const Word& word) {
+  void carry(int from, int to, const LeaseMessage& word) {
     if (cutOff(from, to)) return;
     if (lot() < day_.loss) return;
     const int copies = lot() < day_.twice ? 2 : 1;
@@ -150,7 +150,7 @@
     }
   }
 
-  void deliver(int to, const Word& word) {
+  void deliver(int to, const LeaseMessage& word) {
     Office& one = office(to);
     if (!one.alive) return;
     if (one.frozen) {
@@ -283,7 +283,7 @@
           const int held = dead.pool->part().held();
           dead.alive = false;
           dead.standing.clear();
-          dead.pool = std::make_unique<Pool>(day_.kinds, i, mates_, 1, clock(dead), day_.spans);
+          dead.pool = std::make_unique<LeasedBudget>(day_.kinds, i, mates_, 1, clock(dead), day_.spans);
           ghosts_ += held;
           const Span cut = std::min(kFarEndsSilent, one.lasts + kFarEndsCut);
           at(cut, [this, held] { ghosts_ -= held; });
@@ -296,7 +296,7 @@
           at(one.lasts, [this, i] {
             Office& woken = office(i);
             woken.frozen = false;
-            for (const Word& word : std::exchange(woken.waiting, {})) woken.pool->hear(clock(woken), word);
+            for (const LeaseMessage& word : std::exchange(woken.waiting, {})) woken.pool->hear(clock(woken), word);
             turn(i);
           });
         }
--- a/src/model/zone_model.hpp
+++ b/src/model/zone_model.hpp
@@ -41,7 +41,7 @@
   Span delay = Span::ms(4), lateBy = Span::ms(2000);
   double drift = 0;  // clocks run apart by up to this share, and begin anywhere
   std::uint64_t seed = 1;
-  std::vector<ZoneTrouble> troubles;
+  std::vector<ZoneTrouble> faults;
   zones::LeaseSpans spans;
 };
 
--- a/src/net/datagram_runner.cpp
+++ b/src/net/datagram_runner.cpp
@@ -14,14 +14,15 @@
 
 }  // namespace
 
-struct Attendance::State {
-  State(Station& of, Port& at, Clock& by, std::function<void(const char*)> tell)
-      : station(&of), port(&at), clock(&by), alarm(by.alarm()), fault(std::move(tell)) {}
+struct DatagramRunner::State {
+  State(DatagramHandler& of, Port& at, Clock& by, std::function<void(const char*)> tell)
+      : handler(&of), port(&at), clock(&by), timer(by.timer()), fault(std::move(tell)) {}
 
   void turn() {
     const Instant now = clock->now();
-    station->turn(now, [this](iax2::Address to, std::span<const std::uint8_t> datagram) { port->send(to, datagram); });
-    alarm->set(station->nextTurn());
+    handler->process(now,
+                     [this](iax2::Address to, std::span<const std::uint8_t> datagram) { port->send(to, datagram); });
+    timer->set(handler->nextDeadline());
   }
 
   void end(std::exception_ptr why) {
@@ -36,13 +37,13 @@
       port->close();
     }
     over = true;
-    alarm->close();
+    timer->close();
   }
 
-  Station* station;
+  DatagramHandler* handler;
   Port* port;
   Clock* clock;
-  std::unique_ptr<Alarm> alarm;
+  std::unique_ptr<Timer> timer;
   std::function<void(const char*)> fault;
   bool over = false;
 };
@@ -56,7 +57,7 @@
     if (at->over || at->port->closed()) break;
     const Instant now = at->clock->now();
     at->port->drain(kBatch, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
-      at->station->take(now, from, datagram);
+      at->handler->receive(now, from, datagram);
     });
     at->turn();
   }
@@ -65,12 +66,12 @@
 template <typename State>
 asio::awaitable<void> ticking(std::shared_ptr<State> at) {
   while (!at->over) {
-    co_await at->alarm->rung();
+    co_await at->timer->asyncWait();
     if (at->over) break;
     // What has come in belongs to this round too.
     const Instant now = at->clock->now();
     at->port->drain(kBatch, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
-      at->station->take(now, from, datagram);
+      at->handler->receive(now, from, datagram);
     });
     at->turn();
   }
@@ -78,19 +79,19 @@
 
 }  // namespace
 
-Attendance::Attendance(asio::any_io_executor executor, Station& station, Port& port, Clock& clock,
-                       std::function<void(const char*)> fault)
-    : state_(std::make_shared<State>(station, port, clock, std::move(fault))) {
-  state_->alarm->set(clock.now());
+DatagramRunner::DatagramRunner(asio::any_io_executor executor, DatagramHandler& handler, Port& port, Clock& clock,
+                               std::function<void(const char*)> fault)
+    : state_(std::make_shared<State>(handler, port, clock, std::move(fault))) {
+  state_->timer->set(clock.now());
   asio::co_spawn(executor, receiving(state_), [at = state_](std::exception_ptr why) { at->end(why); });
   asio::co_spawn(executor, ticking(state_), [at = state_](std::exception_ptr why) { at->end(why); });
 }
 
-Attendance::~Attendance() {
+DatagramRunner::~DatagramRunner() {
   state_->over = true;
-  state_->alarm->close();
+  state_->timer->close();
 }
 
-void Attendance::nudge() { state_->alarm->set(state_->clock->now()); }
+void DatagramRunner::wakeUp() { state_->timer->set(state_->clock->now()); }
 
 }  // namespace thistlefold::net
--- a/src/net/datagram_runner.hpp
+++ b/src/net/datagram_runner.hpp
@@ -12,15 +12,15 @@
 
 /// Runs a station on a port and a clock until the port is closed: two coroutines, one for what comes in and one
 /// for what is due. The same code on sockets and on the virtual network.
-class Attendance {
+class DatagramRunner {
  public:
   /// All must outlive the attendance. `fault` hears of an exception that ended a coroutine; the port is closed
   /// then.
-  Attendance(boost::asio::any_io_executor executor, Station& station, Port& port, Clock& clock,
-             std::function<void(const char*)> fault);
-  ~Attendance();
+  DatagramRunner(boost::asio::any_io_executor executor, DatagramHandler& handler, Port& port, Clock& clock,
+                 std::function<void(const char*)> fault);
+  ~DatagramRunner();
   /// After something was changed in the station from outside a turn: it gets one now.
-  void nudge();
+  void wakeUp();
 
  private:
   struct State;
--- a/src/net/real.cpp
+++ b/src/net/real.cpp
@@ -36,9 +36,9 @@
       std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double, std::milli>(std::max(ms, 0.0))));
 }
 
-class RealAlarm final : public Alarm {
+class RealTimer final : public Timer {
  public:
-  RealAlarm(const asio::any_io_executor& executor, Span ofDay)
+  RealTimer(const asio::any_io_executor& executor, Span ofDay)
       : timer_(executor, Steady::time_point::max()), ofDay_(ofDay) {}
 
   void set(Instant at) override {
@@ -46,7 +46,7 @@
     at_ = at;
     timer_.expires_at(timePoint(at - ofDay_));  // ends the wait, which then begins anew
   }
-  asio::awaitable<void> rung() override {
+  asio::awaitable<void> asyncWait() override {
     while (!closed_) {
       boost::system::error_code error;
       co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, error));
@@ -73,7 +73,7 @@
  public:
   explicit RealClock(asio::any_io_executor executor) : executor_(std::move(executor)) {}
   Instant now() const override { return instant(Steady::now()) + ofDay_; }
-  std::unique_ptr<Alarm> alarm() override { return std::make_unique<RealAlarm>(executor_, ofDay_); }
+  std::unique_ptr<Timer> timer() override { return std::make_unique<RealTimer>(executor_, ofDay_); }
 
  private:
   const Span ofDay_ = ofDay();
--- a/src/net/stream_runner.cpp
+++ b/src/net/stream_runner.cpp
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-struct Streams::State {
+struct StreamRunner::State {
   State(asio::any_io_executor by, Clock& time, std::size_t bound)
-      : executor(std::move(by)), clock(&time), alarm(time.alarm()), acceptor(executor), room(executor), most(bound) {}
+      : executor(std::move(by)), clock(&time), timer(time.timer()), acceptor(executor), room(executor), most(bound) {}
 
   void guarded(const std::function<void()>& call) {
     if (over) return;
@@ -47,8 +47,8 @@
   }
   void turn() {
     guarded([this] {
-      party->turn(clock->now());
-      alarm->set(party->nextTurn());
+      handler->process(clock->now());
+      timer->set(handler->nextDeadline());
     });
   }
   /// One turn after all that is ready to be read by now, so that no decision is made on half of what came.
@@ -66,11 +66,11 @@
 
   asio::any_io_executor executor;
   Clock* clock;
-  std::unique_ptr<Alarm> alarm;
+  std::unique_ptr<Timer> timer;
   tcp::acceptor acceptor;
   asio::steady_timer room;  // rung when a connection was closed
   std::size_t most;
-  Party* party = nullptr;
+  StreamHandler* handler = nullptr;
   std::function<void(const char*)> fault;
   std::set<std::shared_ptr<TcpStream>> streams;
   std::deque<std::weak_ptr<TcpStream>> closing;  // ended, in that order
@@ -81,7 +81,8 @@
 
 class TcpStream final : public Stream, public std::enable_shared_from_this<TcpStream> {
  public:
-  TcpStream(std::shared_ptr<Streams::State> of, tcp::socket socket) : of_(std::move(of)), socket_(std::move(socket)) {}
+  TcpStream(std::shared_ptr<StreamRunner::State> of, tcp::socket socket)
+      : of_(std::move(of)), socket_(std::move(socket)) {}
 
   void send(std::string_view bytes) override {
     if (ended_ || !socket_.is_open()) return;
@@ -117,7 +118,7 @@
     close();
   }
 
-  static asio::awaitable<void> dialling(std::shared_ptr<TcpStream> self, std::shared_ptr<Streams::State> of,
+  static asio::awaitable<void> dialling(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> of,
                                         tcp::endpoint to) {
     Error error;
     co_await self->socket_.async_connect(to, asio::redirect_error(asio::use_awaitable, error));
@@ -127,31 +128,31 @@
       co_return;
     }
     self->start();
-    of->guarded([&] { of->party->up(of->clock->now(), *self); });
-    Streams::State::turnSoon(of);
+    of->guarded([&] { of->handler->up(of->clock->now(), *self); });
+    StreamRunner::State::turnSoon(of);
     if (!self->waiting_.empty() && !self->ended_) {
       asio::co_spawn(of->executor, writing(self), asio::detached);
     }
     co_await reading(self, of);
   }
 
-  static asio::awaitable<void> reading(std::shared_ptr<TcpStream> self, std::shared_ptr<Streams::State> of) {
+  static asio::awaitable<void> reading(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> of) {
     while (!self->ended_ && !of->over) {
       Error error;
       co_await self->socket_.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
       if (self->ended_ || of->over) co_return;
       for (int reads = 0; reads < kReadsInARow && !error && !self->ended_ && !of->over; ++reads) {
         const std::size_t got = self->socket_.read_some(asio::buffer(of->buffer), error);
-        if (!error) of->guarded([&] { of->party->read(of->clock->now(), *self, {of->buffer.data(), got}); });
+        if (!error) of->guarded([&] { of->handler->read(of->clock->now(), *self, {of->buffer.data(), got}); });
       }
       if (self->ended_ || of->over) break;
       if (error && error != asio::error::would_block) {
         self->tellDown(error);
         break;
       }
-      Streams::State::turnSoon(of);
+      StreamRunner::State::turnSoon(of);
     }
-    if (!of->over) Streams::State::turnSoon(of);
+    if (!of->over) StreamRunner::State::turnSoon(of);
   }
 
   void start() {
@@ -206,9 +207,9 @@
                           : error == asio::error::eof ? StreamEnd::closed
                                                       : StreamEnd::reset;
     const auto keep = shared_from_this();
-    of_->guarded([&] { of_->party->down(of_->clock->now(), *this, how); });
+    of_->guarded([&] { of_->handler->down(of_->clock->now(), *this, how); });
     close();
-    Streams::State::turnSoon(of_);
+    StreamRunner::State::turnSoon(of_);
   }
 
   void close() {
@@ -219,14 +220,14 @@
     of_->room.cancel();
   }
 
-  std::shared_ptr<Streams::State> of_;
+  std::shared_ptr<StreamRunner::State> of_;
   tcp::socket socket_;
   std::string waiting_;
   bool stands_ = false;
   bool ended_ = false;
 };
 
-bool Streams::State::makeRoom() {
+bool StreamRunner::State::makeRoom() {
   while (!closing.empty()) {
     const auto oldest = closing.front().lock();
     closing.pop_front();
@@ -261,7 +262,7 @@
     const auto stream = std::make_shared<TcpStream>(at, std::move(socket));
     at->streams.insert(stream);
     stream->start();
-    at->guarded([&] { at->party->came(at->clock->now(), *stream); });
+    at->guarded([&] { at->handler->came(at->clock->now(), *stream); });
     asio::co_spawn(at->executor, TcpStream::reading(stream, at), asio::detached);
   }
 }
@@ -269,7 +270,7 @@
 template <typename State>
 asio::awaitable<void> ticking(std::shared_ptr<State> at) {
   while (!at->over) {
-    co_await at->alarm->rung();
+    co_await at->timer->asyncWait();
     if (at->over) break;
     State::turnSoon(at);
   }
@@ -277,12 +278,12 @@
 
 }  // namespace
 
-Streams::Streams(asio::any_io_executor executor, Clock& clock, std::size_t most)
+StreamRunner::StreamRunner(asio::any_io_executor executor, Clock& clock, std::size_t most)
     : state_(std::make_shared<State>(std::move(executor), clock, most)) {}
 
-Streams::~Streams() {
+StreamRunner::~StreamRunner() {
   state_->over = true;
-  state_->alarm->close();
+  state_->timer->close();
   Error ignored;
   state_->acceptor.close(ignored);
   const auto streams = std::move(state_->streams);
@@ -290,7 +291,7 @@
   for (const auto& stream : streams) stream->cut();
 }
 
-iax2::Address Streams::listen(iax2::Address at) {
+iax2::Address StreamRunner::listen(iax2::Address at) {
   try {
     auto& acceptor = state_->acceptor;
     acceptor.open(tcp::v4());
@@ -304,22 +305,22 @@
   }
 }
 
-void Streams::attend(Party& party, std::function<void(const char*)> fault) {
-  state_->party = &party;
+void StreamRunner::attend(StreamHandler& handler, std::function<void(const char*)> fault) {
+  state_->handler = &handler;
   state_->fault = std::move(fault);
-  state_->alarm->set(state_->clock->now());
+  state_->timer->set(state_->clock->now());
   asio::co_spawn(state_->executor, ticking(state_), asio::detached);
   if (state_->acceptor.is_open()) asio::co_spawn(state_->executor, accepting(state_), asio::detached);
 }
 
-void Streams::nudge() { State::turnSoon(state_); }
+void StreamRunner::wakeUp() { State::turnSoon(state_); }
 
-void Streams::deafen() {
+void StreamRunner::deafen() {
   Error ignored;
   state_->acceptor.close(ignored);
 }
 
-Stream* Streams::dial(iax2::Address to) {
+Stream* StreamRunner::dial(iax2::Address to) {
   if (state_->over || (state_->full() && !state_->makeRoom())) return nullptr;
   tcp::socket socket(state_->executor);
   Error error;
@@ -331,8 +332,8 @@
   return stream.get();
 }
 
-std::size_t Streams::held() const { return state_->streams.size(); }
+std::size_t StreamRunner::held() const { return state_->streams.size(); }
 
-std::size_t Streams::closing() const { return state_->closing.size(); }
+std::size_t StreamRunner::closing() const { return state_->closing.size(); }
 
 }  // namespace thistlefold::net
--- a/src/net/stream_runner.hpp
+++ b/src/net/stream_runner.hpp
@@ -13,19 +13,19 @@
 
 class TcpStream;
 
-class Streams final : public Dialler {
+class StreamRunner final : public Dialler {
  public:
   /// `clock` must outlive it. `most`: connections held at once. At the bound those that are only being closed go first;
   /// then those that come wait in the system's queue, one earlier than the party's own dialling, which gets none.
-  Streams(boost::asio::any_io_executor executor, Clock& clock, std::size_t most);
-  ~Streams() override;
+  StreamRunner(boost::asio::any_io_executor executor, Clock& clock, std::size_t most);
+  ~StreamRunner() override;
 
   /// Port 0 takes a free one. Throws std::runtime_error that names the address if it can't be bound.
   iax2::Address listen(iax2::Address at);
   /// From now on the party is told. `fault` hears of an exception that came out of it.
-  void attend(Party& party, std::function<void(const char*)> fault);
+  void attend(StreamHandler& handler, std::function<void(const char*)> fault);
   /// After something was changed in the party from outside a turn: it gets one now.
-  void nudge();
+  void wakeUp();
   /// Nobody is accepted any more.
   void deafen();
 
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-class VirtualAlarm final : public Alarm {
+class VirtualTimer final : public Timer {
  public:
-  VirtualAlarm(VirtualClock& clock, asio::io_context& context, VirtualHost* host)
+  VirtualTimer(VirtualClock& clock, asio::io_context& context, VirtualHost* host)
       : clock_(clock), bell_(context), host_(host) {
-    if (host_ != nullptr) host_->alarms_.push_back(this);
+    if (host_ != nullptr) host_->timers_.push_back(this);
   }
-  ~VirtualAlarm() override {
+  ~VirtualTimer() override {
     clear();
-    if (host_ != nullptr) std::erase(host_->alarms_, this);
+    if (host_ != nullptr) std::erase(host_->timers_, this);
   }
 
   void set(Instant at) override {
@@ -49,7 +49,7 @@
     });
     entered_ = true;
   }
-  asio::awaitable<void> rung() override {
+  asio::awaitable<void> asyncWait() override {
     while (!closed_ && (!rang_ || frozen())) co_await bell_.wait();
     rang_ = false;
   }
@@ -77,14 +77,14 @@
 
 VirtualClock::~VirtualClock() = default;
 
-std::unique_ptr<Alarm> VirtualClock::alarm() { return std::make_unique<VirtualAlarm>(*this, context_, nullptr); }
+std::unique_ptr<Timer> VirtualClock::timer() { return std::make_unique<VirtualTimer>(*this, context_, nullptr); }
 
-std::unique_ptr<Alarm> VirtualHost::alarm() { return std::make_unique<VirtualAlarm>(clock_, clock_.context_, this); }
+std::unique_ptr<Timer> VirtualHost::timer() { return std::make_unique<VirtualTimer>(clock_, clock_.context_, this); }
 
 void VirtualHost::freeze(bool frozen) {
   frozen_ = frozen;
   if (frozen) return;
-  for (VirtualAlarm* alarm : alarms_) alarm->thaw();
+  for (VirtualTimer* timer : timers_) timer->thaw();
 }
 
 VirtualClock::Key VirtualClock::enter(Instant at, std::function<void()> what) {
@@ -174,7 +174,7 @@
 void MemoryNetwork::carry(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram) {
   std::vector<std::uint8_t> bytes(datagram.begin(), datagram.end());
   if (tap_) tap_(clock_.now(), from, to, datagram, false);
-  const std::vector<Span> copies = fate_ ? fate_(from, to, bytes) : std::vector<Span>{Span::ms(0.1)};
+  const std::vector<Span> copies = impairment_ ? impairment_(from, to, bytes) : std::vector<Span>{Span::ms(0.1)};
   for (const Span delay : copies) {
     clock_.at(clock_.now() + delay, [this, from, to, bytes] {
       const auto port = ports_.find(to);
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -22,14 +22,14 @@
   ~VirtualClock() override;
 
   Instant now() const override { return now_; }
-  std::unique_ptr<Alarm> alarm() override;
+  std::unique_ptr<Timer> timer() override;
   /// Calls `what` at `at`, or now if that is past.
   void at(Instant at, std::function<void()> what);
   /// Runs all that is ready and due, in order of time, until `end`.
   void runUntil(Instant end);
 
  private:
-  friend class VirtualAlarm;
+  friend class VirtualTimer;
   friend class MemoryNetwork;
   friend class VirtualHost;
   using Key = std::pair<Instant, std::uint64_t>;
@@ -47,26 +47,27 @@
  public:
   explicit VirtualHost(VirtualClock& clock) : clock_(clock) {}
   Instant now() const override { return clock_.now(); }
-  std::unique_ptr<Alarm> alarm() override;
+  std::unique_ptr<Timer> timer() override;
   void freeze(bool frozen);
 
  private:
-  friend class VirtualAlarm;
+  friend class VirtualTimer;
   VirtualClock& clock_;
-  std::vector<class VirtualAlarm*> alarms_;
+  std::vector<class VirtualTimer*> timers_;
   bool frozen_ = false;
 };
 
 /// What becomes of one datagram: a delay for each copy that is delivered, none if it is lost. May change the bytes.
-using Fate = std::function<std::vector<Span>(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes)>;
+using Impairment =
+    std::function<std::vector<Span>(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes)>;
 
 class MemoryNetwork {
  public:
   explicit MemoryNetwork(VirtualClock& clock) : clock_(clock) {}
-  void fate(Fate fate) { fate_ = std::move(fate); }
+  void setImpairment(Impairment impairment) { impairment_ = std::move(impairment); }
   /// Sees each datagram when it is sent and (`delivered`) when a port takes it into its queue.
   using Tap = std::function<void(Instant, iax2::Address, iax2::Address, std::span<const std::uint8_t>, bool delivered)>;
-  void tap(Tap tap) { tap_ = std::move(tap); }
+  void setTap(Tap tap) { tap_ = std::move(tap); }
   /// A port of this address; the network must outlive it. At most `room` datagrams wait in it.
   std::unique_ptr<Port> port(iax2::Address at, std::size_t room = 4096);
   /// While held, a port's owner is frozen: datagrams wait in its queue, but nobody is woken.
@@ -77,7 +78,7 @@
   void carry(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram);
 
   VirtualClock& clock_;
-  Fate fate_;
+  Impairment impairment_;
   Tap tap_;
   std::map<iax2::Address, class MemoryPort*> ports_;
 };
--- a/src/office/list.cpp
+++ b/src/office/list.cpp
@@ -14,8 +14,8 @@
 std::string encode(const ExchangeList& list) {
   std::ostringstream out;
   out << "thistlefold list 1 " << list.directory << ' ' << list.version << ' ' << (list.full ? "full" : "changes")
-      << ' ' << list.listings.size() << '\n';
-  for (const Listing& one : list.listings) {
+      << ' ' << list.entries.size() << '\n';
+  for (const ListEntry& one : list.entries) {
     out << one.place << ' '
         << (one.readiness == Readiness::ready      ? "ready"
             : one.readiness == Readiness::draining ? "draining"
@@ -39,13 +39,13 @@
   if ((kind != "full" && kind != "changes") || count > kMostListings) return std::nullopt;
   list.full = kind == "full";
   for (std::size_t i = 0; i < count; ++i) {
-    Listing one;
+    ListEntry one;
     std::int64_t age = 0;
     if (!(in >> one.place >> word >> one.start >> age) || one.place < 0 || age < 0) return std::nullopt;
     if (word != "ready" && word != "draining" && word != "gone") return std::nullopt;
     one.readiness = word == "ready" ? Readiness::ready : word == "draining" ? Readiness::draining : Readiness::gone;
     one.age = Span::ms(static_cast<double>(age));
-    list.listings.push_back(one);
+    list.entries.push_back(one);
   }
   while (in >> word) {
     GroupSize group;
--- a/src/office/list.hpp
+++ b/src/office/list.hpp
@@ -13,7 +13,7 @@
 
 namespace thistlefold {
 
-struct Listing {
+struct ListEntry {
   int place = 0;
   Readiness readiness = Readiness::gone;
   std::uint64_t start = 0;  // changes whenever another processor takes over; says nothing of time
@@ -31,7 +31,7 @@
   std::uint64_t directory = 0;  // changes when the directory is started anew: versions begin again
   std::uint64_t version = 0;
   bool full = false;  // what it does not name is gone
-  std::vector<Listing> listings;
+  std::vector<ListEntry> entries;
   std::vector<GroupSize> groups;
 };
 
