--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -9,7 +9,7 @@
 
 namespace thistlefold {
 
-using iax2::Why;
+using iax2::ReleaseReason;
 
 namespace {
 
@@ -45,10 +45,10 @@
 
 /// Another office with the exchange behind it, or (the own place) the own exchange.
 struct Office::Peer : Exchange {
-  Peer(const Place& at, Trunk group) : site(at), trunk(group) {}
+  Peer(const Place& at, TrunkGroup group) : site(at), trunk(group) {}
 
   const Place& site;
-  Trunk trunk;
+  TrunkGroup trunk;
   Readiness told = Readiness::gone;
   std::uint64_t start = 0;               // the directory's mark of its processor
   std::uint64_t mark = 0;                // its own mark, from PONG
@@ -73,15 +73,15 @@
   State state = State::asked;
   Leg* in = nullptr;
   Leg* out = nullptr;
-  Peer* at = nullptr;           // where the INVITE went
-  zones::Cell* cell = nullptr;  // of the account, while it stands over a leg that crosses zones
+  Peer* at = nullptr;                // where the INVITE went
+  zones::UsageCell* cell = nullptr;  // of the account, while it stands over a leg that crosses zones
   std::string called, calling;
   std::size_t offer = 0;
   Instant giveUpAt = Instant::never();
   bool acceptedIn = false;
   bool rang = false;  // RINGING or PROCEEDING has been passed on
-  Reason lastReason = Reason::none;
-  Ending lastEnding = Ending::ok;
+  BlockingReason lastReason = BlockingReason::none;
+  InviteOutcome lastEnding = InviteOutcome::released;
   bool queued = false;  // in done_
   std::list<Held>::iterator self;
 };
@@ -95,8 +95,8 @@
 struct Office::Leg : iax2::CallOwner {
   Leg(Office& at, Held* of, iax2::Call& on, Peer* towards, int wide, bool outgoing)
       : office(at), held(of), call(&on), peer(towards), circuits(wide), out(outgoing), inDoubt(outgoing) {}
-  void heard(iax2::Call&, const iax2::Frame& frame) override { office.heard(*this, frame); }
-  void gone(iax2::Call&, iax2::Gone how) override { office.gone(*this, how); }
+  void onFrame(iax2::Call&, const iax2::Frame& frame) override { office.onFrame(*this, frame); }
+  void onCallEnded(iax2::Call&, iax2::CallEnd how) override { office.onCallEnded(*this, how); }
 
   Office& office;
   Held* held;
@@ -106,7 +106,7 @@
   bool out;
   bool inDoubt;  // not answered by the far end yet
   Instant openedAt;
-  zones::Cell* cell = nullptr;  // of the account, where the leg goes out and crosses zones
+  zones::UsageCell* cell = nullptr;  // of the account, where the leg goes out and crosses zones
   std::size_t service = 0;
   std::string user;                    // of a leg that goes out across zones
   std::optional<zones::Key> mirrored;  // a leg that came in across zones
@@ -116,15 +116,15 @@
 
 struct Office::Event {
   enum class Kind { incoming, accepted, ended, abandoned, listed, reported, listFailed };
-  explicit Event(Kind what, Held* whose = nullptr, Peer* where = nullptr, Ending how = Ending::ok,
-                 Reason why = Reason::none)
+  explicit Event(Kind what, Held* whose = nullptr, Peer* where = nullptr, InviteOutcome how = InviteOutcome::released,
+                 BlockingReason why = BlockingReason::none)
       : kind(what), held(whose), peer(where), ending(how), reason(why) {}
 
   Kind kind;
   Held* held;
   Peer* peer;
-  Ending ending;
-  Reason reason;
+  InviteOutcome ending;
+  BlockingReason reason;
   bool beyond = false;  // ended: the reason lies with the far processor
   Span span;            // ended: told wait; accepted: delay
   bool final = false;
@@ -133,13 +133,14 @@
   double number = 0;
 };
 
-Office::Office(const Fleet& fleet, OfficeSetting setting, Instant now, const MakeController& make, Watch watch)
+Office::Office(const Fleet& fleet, OfficeOptions setting, Instant now, const ControllerFactory& make,
+               OfficeObserver observer)
     : fleet_(fleet),
       setting_(setting),
-      watch_(std::move(watch)),
+      observer_(std::move(observer)),
       now_(now),
       started_(now),
-      endpoint_(*this, setting.seed ^ static_cast<std::uint64_t>((now - Instant()).ms() * 1000), setting.patience),
+      endpoint_(*this, setting.seed ^ static_cast<std::uint64_t>((now - Instant()).ms() * 1000), setting.timing),
       startMark_(static_cast<std::uint64_t>((now - Instant()).ms() * 1000)) {
   controller_ = make(fleet.data, setting.seed);
   for (const Place& place : fleet.places) {
@@ -148,23 +149,24 @@
     if (known == zoneNames_.end()) zoneNames_.push_back(place.zone);
   }
   std::vector<zones::Kind> kinds;
-  for (std::size_t i = 0; i < fleet.offers.size(); ++i) {
+  for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
     const Service& service = fleet.data.services[i];
-    const double circuitSeconds = fleet.offers[i].width * std::max(1.0, service.meanHold.ms()) / 1000;
-    kinds.push_back({fleet.offers[i].width, service.value / circuitSeconds, service.meanHold});
+    const double circuitSeconds = fleet.offeredServices[i].width * std::max(1.0, service.meanHold.ms()) / 1000;
+    kinds.push_back({fleet.offeredServices[i].width, service.value / circuitSeconds, service.meanHold});
   }
   const int here = zoneOf_[static_cast<std::size_t>(setting.place)];
-  std::vector<int> zoneMates;
+  std::vector<int> zonePeers;
   for (std::size_t i = 0; i < zoneOf_.size(); ++i) {
-    if (zoneOf_[i] == here) zoneMates.push_back(static_cast<int>(i));
+    if (zoneOf_[i] == here) zonePeers.push_back(static_cast<int>(i));
   }
   for (std::size_t zone = 0; zone < zoneNames_.size(); ++zone) {
-    pools_.push_back(std::make_unique<zones::Pool>(kinds, setting.place, zoneMates, static_cast<int>(zone), now));
+    pools_.push_back(
+        std::make_unique<zones::LeasedBudget>(kinds, setting.place, zonePeers, static_cast<int>(zone), now));
   }
   for (std::size_t i = 0; i < fleet.places.size(); ++i) {
     const int place = static_cast<int>(i);
-    peers_.push_back(
-        std::make_unique<Peer>(fleet.places[i], Trunk(fleet.circuits(setting.place, place), setting.place < place)));
+    peers_.push_back(std::make_unique<Peer>(fleet.places[i],
+                                            TrunkGroup(fleet.circuits(setting.place, place), setting.place < place)));
     Peer& peer = *peers_.back();
     peer.place = place;
     peer.own = place == setting.place;
@@ -185,18 +187,18 @@
 
 // ---- What comes in ---------------------------------------------------------------------------------------
 
-void Office::take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
+void Office::receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
   now_ = now;
   if (from == fleet_.directory && !datagram.empty() && datagram[0] == 't') {
     if (const auto read = decodeList(datagram)) {
       list(*read);
     } else {
-      ++tally_.unreadable;
+      ++counters_.unreadable;
     }
     return;
   }
   if (!datagram.empty() && datagram[0] == 't' && byOffice_.contains(from)) {
-    const auto word = zones::decodeWord(datagram);
+    const auto word = zones::decodeLeaseMessage(datagram);
     const Peer& peer = *byOffice_[from];
     // Others speak for themselves only.
     const bool taken =
@@ -205,19 +207,19 @@
     if (taken) {
       pools_[static_cast<std::size_t>(word->zone)]->hear(now, *word);
     } else {
-      ++tally_.unreadable;
+      ++counters_.unreadable;
     }
     return;
   }
   endpoint_.receive(now, from, datagram);
 }
 
-void Office::opened(iax2::Call& call, const iax2::Frame& frame) {
+void Office::onIncomingCall(iax2::Call& call, const iax2::Frame& frame) {
   const auto peer = byOffice_.find(call.peer());
-  if (stopping_) return reject(call, Why::none, kOutOfOrder, "going out of service", Span::ms(1000));
+  if (stopping_) return reject(call, ReleaseReason::none, kOutOfOrder, "going out of service", Span::ms(1000));
   if (held_.size() >= setting_.mostSessions) {
-    ++tally_.overFull;
-    return reject(call, Why::processorFull, kCongestion, "office full", Span::ms(1000));
+    ++counters_.overFull;
+    return reject(call, ReleaseReason::processorFull, kCongestion, "office full", Span::ms(1000));
   }
   peer == byOffice_.end() ? fromCaller(call, frame) : fromPeer(*peer->second, call, frame);
 }
@@ -225,27 +227,27 @@
 void Office::fromCaller(iax2::Call& call, const iax2::Frame& frame) {
   const iax2::Elements& e = frame.elements;
   const int service = e.calledContext.empty() ? 0 : fleet_.service(e.calledContext);
-  if (service < 0) return reject(call, Why::noRoute, kNoRoute, "no such service", Span::none());
+  if (service < 0) return reject(call, ReleaseReason::noRoute, kNoRoute, "no such service", Span::none());
   // A NEW that was cut short on the way has lost what comes last. It is left unanswered, and the sender repeats it
   // whole.
   if (e.calledNumber.empty()) {
-    ++tally_.unreadable;
+    ++counters_.unreadable;
     return;
   }
   if (e.calledNumber.size() > kLongestNumber) {
-    return reject(call, Why::noRoute, kNoRoute, "a called number of 1 to 32 digits is wanted", Span::none());
+    return reject(call, ReleaseReason::noRoute, kNoRoute, "a called number of 1 to 32 digits is wanted", Span::none());
   }
   const std::uint64_t id = std::uint64_t{static_cast<std::uint32_t>(setting_.place + 1) & 0xfff} << 52 |
                            (startMark_ / 1000 & 0xfffff) << 32 | ++serial_;
   Held& held = newHeld(id, frame, static_cast<std::size_t>(service));
   held.kind = Held::Kind::dialled;
-  held.width = fleet_.offers[held.offer].width;
+  held.width = fleet_.offeredServices[held.offer].width;
   const int destination = fleet_.destination(held.called);
   held.destination = destination < 0 ? nullptr : peers_[static_cast<std::size_t>(destination)].get();
   held.wasCut = e.wasCut.value_or(false);
   held.in = &newLeg(held, call, nullptr, 0, false);
-  ++tally_.dialled;
-  tell(Happening::What::taken, &held, nullptr, "");
+  ++counters_.dialled;
+  tell(OfficeEvent::What::taken, &held, nullptr, "");
   event(Event(Event::Kind::incoming, &held));
 }
 
@@ -253,11 +255,11 @@
   const iax2::Elements& e = frame.elements;
   const int service = fleet_.service(e.calledContext);
   if (!e.session || !e.towards || !e.width || !e.timeLeft || !e.started) {
-    ++tally_.unreadable;  // cut short, as above
+    ++counters_.unreadable;  // cut short, as above
     return;
   }
   if (*e.width == 0 || *e.width > 1000 || service < 0 || *e.towards >= peers_.size() || *e.towards == peer.place) {
-    return reject(call, Why::noRoute, kInvalid, "not a session of this fleet", Span::none());
+    return reject(call, ReleaseReason::noRoute, kInvalid, "not a session of this fleet", Span::none());
   }
   const int width = *e.width;
   const std::uint64_t mark = *e.started;
@@ -267,15 +269,15 @@
       there != here) {
     // Whose session it is stands in its number's highest bits.
     const bool own = *e.session >> 52 == static_cast<std::uint64_t>(peer.place + 1);
-    const zones::Way way = !own                           ? zones::Way::second
-                           : *e.towards == setting_.place ? zones::Way::direct
-                                                          : zones::Way::first;
+    const zones::LegKind way = !own                           ? zones::LegKind::second
+                               : *e.towards == setting_.place ? zones::LegKind::direct
+                                                              : zones::LegKind::first;
     mirrored = zones::Key{there, here, service, way};
-    ++mirrors_.of(peer.place, mark, *mirrored).invites;
+    ++peerUsage_.of(peer.place, mark, *mirrored).invites;
   }
   if (!peer.trunk.admit(width)) {
-    ++tally_.noCircuit;
-    return reject(call, Why::noCircuit, kNoCircuit, "no circuit", Span::none());
+    ++counters_.noCircuit;
+    return reject(call, ReleaseReason::noCircuit, kNoCircuit, "no circuit", Span::none());
   }
   changed(peer);
   Held& held = newHeld(*e.session, frame, static_cast<std::size_t>(service));
@@ -287,11 +289,11 @@
   held.in->mark = mark;
   if (held.destination == own_) {
     held.kind = Held::Kind::terminating;
-    ++tally_.terminating;
+    ++counters_.terminating;
     terminate(held);
   } else {
     held.kind = Held::Kind::transit;
-    ++tally_.transit;
+    ++counters_.transit;
     event(Event(Event::Kind::incoming, &held));
   }
 }
@@ -319,11 +321,12 @@
 // exchange takes nothing new (rule 3) or the sender has no time left.
 void Office::terminate(Held& held) {
   if (own_->told != Readiness::ready) {
-    return answerNo(held, Why::processorFull, false, kRoomFresh, kOutOfOrder, "exchange not in service");
+    return answerNo(held, ReleaseReason::processorFull, false, kRoomFresh, kOutOfOrder, "exchange not in service");
   }
   iax2::Call* call =
       endpoint_.open(now_, own_->site.processor, nullptr, opening(held, setting_.place, held.timerLimit - now_));
-  if (call == nullptr) return answerNo(held, Why::processorFull, false, kRoomFresh, kCongestion, "no call number");
+  if (call == nullptr)
+    return answerNo(held, ReleaseReason::processorFull, false, kRoomFresh, kCongestion, "no call number");
   held.out = &newLeg(held, *call, own_, 0, true);
   held.at = own_;
   held.state = Held::State::ringing;
@@ -336,7 +339,7 @@
   e.version = std::uint16_t{2};
   e.calledNumber = held.called;
   e.callingNumber = held.calling;
-  e.calledContext = fleet_.offers[held.offer].name;
+  e.calledContext = fleet_.offeredServices[held.offer].name;
   e.session = held.id;
   e.origin = static_cast<std::uint16_t>(setting_.place);
   e.towards = static_cast<std::uint16_t>(towards);
@@ -347,7 +350,7 @@
   return e;
 }
 
-void Office::heard(Leg& leg, const iax2::Frame& frame) {
+void Office::onFrame(Leg& leg, const iax2::Frame& frame) {
   Held* held = leg.held;
   const iax2::Elements& e = frame.elements;
   if (leg.peer != nullptr && leg.inDoubt && leg.out) {
@@ -397,48 +400,52 @@
   if (held->state == Held::State::standing) {
     if (!bye) return;
     unlink(leg);
-    return over(*held, e.why == Why::reset || e.causeCode == kOutOfOrder, &leg);
+    return over(*held, e.why == ReleaseReason::reset || e.causeCode == kOutOfOrder, &leg);
   }
-  if (!bye) hangUp(leg, Why::none, kNormal);
+  if (!bye) hangUp(leg, ReleaseReason::none, kNormal);
   unlink(leg);
   const Span wait = Span::ms(e.wait.value_or(0));
   const std::uint8_t code = e.causeCode.value_or(0);
-  switch (e.why.value_or(Why::none)) {
-    case Why::noCircuit:
-      return failed(*held, Ending::full, Reason::noCircuit, false, Span::none());
-    case Why::turnedBack:
-      return failed(*held, Ending::full, Reason::turnedBack, e.beyond.value_or(false), Span::none());
-    case Why::processorFull:
-      return failed(*held, Ending::full, Reason::processorFull, false, wait);
-    case Why::lineBusy:
-      return failed(*held, Ending::fault, Reason::lineBusy, false, Span::none());
-    case Why::reset:
-      return failed(*held, Ending::reset, Reason::none, false, Span::none());
-    case Why::noRoute:
-      return failed(*held, Ending::fault, Reason::none, false, Span::none());
-    case Why::none:
+  switch (e.why.value_or(ReleaseReason::none)) {
+    case ReleaseReason::noCircuit:
+      return failed(*held, InviteOutcome::overloaded, BlockingReason::noCircuit, false, Span::none());
+    case ReleaseReason::turnedBack:
+      return failed(*held, InviteOutcome::overloaded, BlockingReason::turnedBack, e.beyond.value_or(false),
+                    Span::none());
+    case ReleaseReason::processorFull:
+      return failed(*held, InviteOutcome::overloaded, BlockingReason::processorFull, false, wait);
+    case ReleaseReason::lineBusy:
+      return failed(*held, InviteOutcome::failed, BlockingReason::lineBusy, false, Span::none());
+    case ReleaseReason::reset:
+      return failed(*held, InviteOutcome::reset, BlockingReason::none, false, Span::none());
+    case ReleaseReason::noRoute:
+      return failed(*held, InviteOutcome::failed, BlockingReason::none, false, Span::none());
+    case ReleaseReason::none:
       break;
   }
   // A peer that does not know the private elements.
-  if (code == kBusy || busyTone) return failed(*held, Ending::fault, Reason::lineBusy, false, Span::none());
-  if (code == kNoCircuit) return failed(*held, Ending::full, Reason::noCircuit, false, Span::none());
+  if (code == kBusy || busyTone)
+    return failed(*held, InviteOutcome::failed, BlockingReason::lineBusy, false, Span::none());
+  if (code == kNoCircuit)
+    return failed(*held, InviteOutcome::overloaded, BlockingReason::noCircuit, false, Span::none());
   if (code == kCongestion || !bye) {
-    return failed(*held, Ending::full, Reason::processorFull, false, Span::none());
+    return failed(*held, InviteOutcome::overloaded, BlockingReason::processorFull, false, Span::none());
   }
-  failed(*held, Ending::fault, Reason::none, false, Span::none());
+  failed(*held, InviteOutcome::failed, BlockingReason::none, false, Span::none());
 }
 
-void Office::gone(Leg& leg, iax2::Gone how) {
+void Office::onCallEnded(Leg& leg, iax2::CallEnd how) {
   Held* held = leg.held;
   const bool out = leg.out;
-  const bool cut = how != iax2::Gone::finished && how != iax2::Gone::hungUp;
+  const bool cut = how != iax2::CallEnd::finished && how != iax2::CallEnd::hungUp;
   unlink(leg);
   settle(leg);
   if (held == nullptr) return;
   if (held->state == Held::State::standing) return over(*held, cut, nullptr);
   if (held->state == Held::State::over) return;
   if (!out) return callerLeft(*held);
-  failed(*held, how == iax2::Gone::unanswered ? Ending::timedOut : Ending::reset, Reason::none, false, Span::none());
+  failed(*held, how == iax2::CallEnd::unanswered ? InviteOutcome::timedOut : InviteOutcome::reset, BlockingReason::none,
+         false, Span::none());
 }
 
 // ---- The course of a session -----------------------------------------------------------------------------
@@ -451,47 +458,47 @@
     if (!held.acceptedIn) endpoint_.send(now_, *held.in->call, iax2::Iax::ACCEPT, withRoom(&held));
     held.acceptedIn = true;
     endpoint_.send(now_, *held.in->call, iax2::Control::answer);
-    if (held.in->mirrored) ++mirrors_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).stood;
+    if (held.in->mirrored) ++peerUsage_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).stood;
   }
   if (held.kind == Held::Kind::terminating) return;
   held.cell = held.out->cell;
   if (held.cell != nullptr) held.cell->stood(now_);
-  if (held.kind == Held::Kind::dialled) ++tally_.stood;
-  tell(Happening::What::stood, &held, held.at, "");
+  if (held.kind == Held::Kind::dialled) ++counters_.stood;
+  tell(OfficeEvent::What::stood, &held, held.at, "");
   Event accepted(Event::Kind::accepted, &held);
   accepted.span = now_ - held.sentAt;
   event(accepted);
 }
 
-void Office::failed(Held& held, Ending ending, Reason reason, bool beyond, Span wait) {
+void Office::failed(Held& held, InviteOutcome ending, BlockingReason reason, bool beyond, Span wait) {
   due(held, Instant::never());
   held.state = Held::State::asked;
-  if (ending == Ending::timedOut) ++tally_.timedOut;
-  if (ending == Ending::reset) ++tally_.reset;
-  if (reason == Reason::turnedBack) ++tally_.turnedBack;
+  if (ending == InviteOutcome::timedOut) ++counters_.timedOut;
+  if (ending == InviteOutcome::reset) ++counters_.reset;
+  if (reason == BlockingReason::turnedBack) ++counters_.turnedBack;
   if (held.kind == Held::Kind::terminating) {
     switch (reason) {
-      case Reason::processorFull:
-        return answerNo(held, Why::processorFull, false, wait, kCongestion, "processor full");
-      case Reason::lineBusy:
-        return answerNo(held, Why::lineBusy, false, Span::none(), kBusy, "all lines busy");
+      case BlockingReason::processorFull:
+        return answerNo(held, ReleaseReason::processorFull, false, wait, kCongestion, "processor full");
+      case BlockingReason::lineBusy:
+        return answerNo(held, ReleaseReason::lineBusy, false, Span::none(), kBusy, "all lines busy");
       default:
-        if (ending == Ending::reset) {
-          return answerNo(held, Why::reset, false, Span::none(), kOutOfOrder, "exchange reset");
+        if (ending == InviteOutcome::reset) {
+          return answerNo(held, ReleaseReason::reset, false, Span::none(), kOutOfOrder, "exchange reset");
         }
-        return answerNo(held, Why::none, false, Span::none(), kTimer, "exchange silent");
+        return answerNo(held, ReleaseReason::none, false, Span::none(), kTimer, "exchange silent");
     }
   }
   held.lastReason = reason;
   held.lastEnding = ending;
-  tell(Happening::What::ended, &held, held.at,
-       ending == Ending::timedOut        ? "timed out"
-       : ending == Ending::reset         ? "reset"
-       : reason == Reason::noCircuit     ? "no circuit"
-       : reason == Reason::turnedBack    ? "turned back"
-       : reason == Reason::processorFull ? "processor full"
-       : reason == Reason::lineBusy      ? "line busy"
-                                         : "failed");
+  tell(OfficeEvent::What::ended, &held, held.at,
+       ending == InviteOutcome::timedOut         ? "timed out"
+       : ending == InviteOutcome::reset          ? "reset"
+       : reason == BlockingReason::noCircuit     ? "no circuit"
+       : reason == BlockingReason::turnedBack    ? "turned back"
+       : reason == BlockingReason::processorFull ? "processor full"
+       : reason == BlockingReason::lineBusy      ? "line busy"
+                                                 : "failed");
   Event ended(Event::Kind::ended, &held, held.at, ending, reason);
   ended.beyond = beyond;
   ended.span = wait;
@@ -504,16 +511,16 @@
   --standing_;
   if (cut && held.cell != nullptr) held.cell->cut(now_);
   if (cut && held.in != nullptr && held.in->mirrored) {
-    ++mirrors_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).cut;
+    ++peerUsage_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).cut;
   }
-  if (cut && held.kind == Held::Kind::dialled) ++tally_.cut;
+  if (cut && held.kind == Held::Kind::dialled) ++counters_.cut;
   for (Leg* leg : {held.in, held.out}) {
     if (leg == nullptr || leg == by) continue;
-    hangUp(*leg, cut ? Why::reset : Why::none, cut ? kOutOfOrder : kNormal);
+    hangUp(*leg, cut ? ReleaseReason::reset : ReleaseReason::none, cut ? kOutOfOrder : kNormal);
   }
   if (held.kind != Held::Kind::terminating) {
-    tell(cut ? Happening::What::cut : Happening::What::ended, &held, held.at, cut ? "cut" : "");
-    Event ended(Event::Kind::ended, &held, held.at, cut ? Ending::reset : Ending::ok);
+    tell(cut ? OfficeEvent::What::cut : OfficeEvent::What::ended, &held, held.at, cut ? "cut" : "");
+    Event ended(Event::Kind::ended, &held, held.at, cut ? InviteOutcome::reset : InviteOutcome::released);
     ended.final = true;
     event(ended);
   }
@@ -523,12 +530,12 @@
   const bool ringing = held.state == Held::State::ringing;
   held.state = Held::State::over;
   due(held, Instant::never());
-  if (held.kind == Held::Kind::dialled) ++tally_.abandoned;
-  if (held.out != nullptr) hangUp(*held.out, Why::none, kNormal);
+  if (held.kind == Held::Kind::dialled) ++counters_.abandoned;
+  if (held.out != nullptr) hangUp(*held.out, ReleaseReason::none, kNormal);
   if (held.kind != Held::Kind::terminating) {
     event(Event(Event::Kind::abandoned, &held));
     if (ringing) {
-      Event ended(Event::Kind::ended, &held, held.at, Ending::cancelled);
+      Event ended(Event::Kind::ended, &held, held.at, InviteOutcome::cancelled);
       ended.final = true;
       event(ended);
     }
@@ -537,11 +544,11 @@
 }
 
 void Office::giveUp(Held& held) {
-  if (held.out != nullptr) hangUp(*held.out, Why::none, kTimer);
-  failed(held, Ending::timedOut, Reason::none, false, Span::none());
+  if (held.out != nullptr) hangUp(*held.out, ReleaseReason::none, kTimer);
+  failed(held, InviteOutcome::timedOut, BlockingReason::none, false, Span::none());
 }
 
-void Office::answerNo(Held& held, Why why, bool beyond, Span wait, std::uint8_t code, std::string_view text) {
+void Office::answerNo(Held& held, ReleaseReason why, bool beyond, Span wait, std::uint8_t code, std::string_view text) {
   held.state = Held::State::over;
   if (Leg* leg = held.in) {
     iax2::Elements e = withRoom(&held);
@@ -556,7 +563,7 @@
   if (!std::exchange(held.queued, true)) done_.push_back(&held);
 }
 
-void Office::reject(iax2::Call& call, Why why, std::uint8_t code, std::string_view text, Span wait) {
+void Office::reject(iax2::Call& call, ReleaseReason why, std::uint8_t code, std::string_view text, Span wait) {
   iax2::Elements e = withRoom(nullptr);
   e.cause = text;
   e.causeCode = code;
@@ -566,10 +573,10 @@
 }
 
 /// Ends a leg on the wire. The session lets go of it; its circuits are held until the far end confirms.
-void Office::hangUp(Leg& leg, Why why, std::uint8_t code) {
+void Office::hangUp(Leg& leg, ReleaseReason why, std::uint8_t code) {
   iax2::Elements e;
   e.causeCode = code;
-  if (why != Why::none) e.why = why;
+  if (why != ReleaseReason::none) e.why = why;
   endpoint_.hangUp(now_, *leg.call, iax2::Iax::HANGUP, e);
   unlink(leg);
 }
@@ -587,7 +594,7 @@
     if (leg.inDoubt) leg.peer->trunk.answered(leg.circuits);
     leg.peer->trunk.release(leg.circuits);
     if (leg.mirrored) {
-      mirrors_.of(leg.peer->place, leg.mark, *leg.mirrored).circuitMicroseconds +=
+      peerUsage_.of(leg.peer->place, leg.mark, *leg.mirrored).circuitMicroseconds +=
           static_cast<std::uint64_t>(std::max(0.0, (now_ - leg.openedAt).ms()) * 1000) *
           static_cast<std::uint64_t>(leg.circuits);
     }
@@ -595,7 +602,7 @@
       leg.cell->released(now_, leg.circuits);
       users_[static_cast<std::size_t>(zoneOf_[static_cast<std::size_t>(leg.peer->place)])].add(
           leg.user, static_cast<std::uint64_t>(std::max(0.0, (now_ - leg.openedAt).ms()) * leg.circuits));
-      zones::Pool& pool = *poolOf(*leg.peer);
+      zones::LeasedBudget& pool = *poolOf(*leg.peer);
       pool.release(now_, leg.service);
       budgetChanged(pool);
     }
@@ -608,7 +615,7 @@
   const auto self = legs_.emplace(legs_.end(), *this, &held, call, peer, circuits, out);
   self->self = self;
   self->openedAt = now_;
-  call.belongTo(&*self);
+  call.setOwner(&*self);
   return *self;
 }
 
@@ -644,22 +651,22 @@
   for (const Event& one : std::exchange(events_, {})) {
     switch (one.kind) {
       case Event::Kind::incoming:
-        controller.incoming(*one.held);
+        controller.sessionArrived(*one.held);
         break;
       case Event::Kind::accepted:
-        controller.accepted(*one.held, one.span);
+        controller.inviteAccepted(*one.held, one.span);
         break;
       case Event::Kind::ended:
-        controller.ended(*one.held, *one.peer, one.ending, one.reason, one.beyond, one.span, one.final);
+        controller.inviteEnded(*one.held, *one.peer, one.ending, one.reason, one.beyond, one.span, one.final);
         break;
       case Event::Kind::abandoned:
-        controller.abandoned(*one.held);
+        controller.sessionAbandoned(*one.held);
         break;
       case Event::Kind::listed:
-        controller.listed(*one.peer, one.readiness, one.instant);
+        controller.exchangeListed(*one.peer, one.readiness, one.instant);
         break;
       case Event::Kind::reported:
-        controller.reported(*one.peer, one.number);
+        controller.capacityReported(*one.peer, one.number);
         break;
       case Event::Kind::listFailed:
         controller.listFailed();
@@ -672,7 +679,7 @@
 /// the budget fills. Without a budget it is shown as it is.
 std::pair<int, int> Office::shown(const Peer& peer) {
   const int free = peer.trunk.free(), size = peer.trunk.size();
-  const zones::Pool* pool = poolOf(peer);
+  const zones::LeasedBudget* pool = poolOf(peer);
   if (pool == nullptr || !pool->bounded()) return {free, size};
   return {std::min(free, pool->part().left()), std::min(size, pool->part().circuits())};
 }
@@ -680,12 +687,12 @@
 void Office::told(Peer& peer, Controller& controller) {
   std::tie(peer.shownFree, peer.shownSize) = shown(peer);
   if (peer.shut) peer.shownFree = 0;
-  controller.circuits(peer, peer.shownFree, peer.shownSize);
+  controller.circuitsChanged(peer, peer.shownFree, peer.shownSize);
   // As it is again, from the next round on.
   if (std::exchange(peer.shut, false)) changed(peer);
 }
 
-zones::Pool* Office::poolOf(const Peer& to) {
+zones::LeasedBudget* Office::poolOf(const Peer& to) {
   const int there = zoneOf_[static_cast<std::size_t>(to.place)];
   return there == zoneOf_[static_cast<std::size_t>(setting_.place)] ? nullptr
                                                                     : pools_[static_cast<std::size_t>(there)].get();
@@ -693,7 +700,7 @@
 
 /// All groups that share a budget are shown anew, where it makes a difference: while the budget is the wider of the two
 /// it makes none, and telling the module of every group at every session cost half as much as the session.
-void Office::budgetChanged(const zones::Pool& pool) {
+void Office::budgetChanged(const zones::LeasedBudget& pool) {
   if (!pool.bounded()) return;
   for (const auto& peer : peers_) {
     if (peer->own || poolOf(*peer) != &pool) continue;
@@ -738,7 +745,7 @@
 
 /// Ends standing sessions over a budget. Their circuits count until the far end has confirmed, so what is being ended
 /// already is not ended again.
-void Office::endCheapest(const zones::Pool& pool, int circuits) {
+void Office::endCheapest(const zones::LeasedBudget& pool, int circuits) {
   std::vector<Leg*> legs;
   std::vector<zones::Standing> standing;
   for (Leg& leg : legs_) {
@@ -763,7 +770,7 @@
   held.at = &peer;
   held.state = Held::State::ringing;
   iax2::Call* call = nullptr;
-  zones::Pool* pool = poolOf(peer);
+  zones::LeasedBudget* pool = poolOf(peer);
   if (pool != nullptr && !pool->admits(now_, held.offer)) {
     // No circuit for this service: the module looks for another way, as with any leg without one.
     cellOf(held, peer)->refused(now_);
@@ -785,11 +792,11 @@
   if (call == nullptr) {
     // Nothing was sent, so there is nothing to wait for.
     held.state = Held::State::asked;
-    held.lastReason = Reason::noCircuit;
-    return event(Event(Event::Kind::ended, &held, &peer, Ending::moot, Reason::noCircuit));
+    held.lastReason = BlockingReason::noCircuit;
+    return event(Event(Event::Kind::ended, &held, &peer, InviteOutcome::notSent, BlockingReason::noCircuit));
   }
   held.out = &newLeg(held, *call, &peer, width, true);
-  if (zones::Cell* cell = cellOf(held, peer)) {
+  if (zones::UsageCell* cell = cellOf(held, peer)) {
     held.out->cell = cell;
     held.out->service = held.offer;
     held.out->user = held.calling.empty() ? "unknown" : held.calling;
@@ -798,20 +805,20 @@
     budgetChanged(*pool);
   }
   due(held, now_ + giveUpAfter);
-  ++tally_.invites;
-  if (&peer != held.destination) ++tally_.twoLeg;
-  tell(Happening::What::invited, &held, &peer, "");
+  ++counters_.invites;
+  if (&peer != held.destination) ++counters_.twoLeg;
+  tell(OfficeEvent::What::invited, &held, &peer, "");
   if (!held.acceptedIn && held.in != nullptr) {
     held.acceptedIn = true;
     endpoint_.send(now_, *held.in->call, iax2::Iax::ACCEPT, withRoom(&held));
   }
 }
 
-void Office::busy(const Session& session, Span retryAfter) {
+void Office::rejectBusy(const Session& session, Span retryAfter) {
   refuse(const_cast<Held&>(static_cast<const Held&>(session)), retryAfter);
 }
 
-void Office::surrender(const Session& session) {
+void Office::failUncertain(const Session& session) {
   refuse(const_cast<Held&>(static_cast<const Held&>(session)), Span::none());
 }
 
@@ -821,57 +828,58 @@
     // Whoever sent it here must know three things apart: that all lines of the number are busy, that what was
     // sent beyond was reset and may still be taken (rule 5 holds for the session, not for one office), and all
     // else, which is a turn-back.
-    if (held.lastReason == Reason::lineBusy) {
-      return answerNo(held, Why::lineBusy, false, Span::none(), kBusy, "all lines busy");
+    if (held.lastReason == BlockingReason::lineBusy) {
+      return answerNo(held, ReleaseReason::lineBusy, false, Span::none(), kBusy, "all lines busy");
     }
-    if (held.lastEnding == Ending::reset || held.lastEnding == Ending::timedOut) {
-      return answerNo(held, Why::reset, false, Span::none(), kOutOfOrder, "reset beyond");
+    if (held.lastEnding == InviteOutcome::reset || held.lastEnding == InviteOutcome::timedOut) {
+      return answerNo(held, ReleaseReason::reset, false, Span::none(), kOutOfOrder, "reset beyond");
     }
-    return answerNo(held, Why::turnedBack, held.lastReason == Reason::processorFull, Span::none(), kNoCircuit,
-                    "turned back");
+    return answerNo(held, ReleaseReason::turnedBack, held.lastReason == BlockingReason::processorFull, Span::none(),
+                    kNoCircuit, "turned back");
   }
-  ++tally_.refused;
+  ++counters_.refused;
   // A group that is shown without circuits is not tried, so that its budget would never hear that it is wanted.
-  if (held.destination != nullptr && held.lastReason != Reason::lineBusy) {
-    if (zones::Pool* pool = poolOf(static_cast<const Peer&>(*held.destination));
+  if (held.destination != nullptr && held.lastReason != BlockingReason::lineBusy) {
+    if (zones::LeasedBudget* pool = poolOf(static_cast<const Peer&>(*held.destination));
         pool != nullptr && !pool->admits(now_, held.offer)) {
       pool->refused(now_, held.offer);
     }
   }
-  tell(Happening::What::refused, &held, held.at,
-       held.destination == nullptr           ? "no such number"
-       : held.lastReason == Reason::lineBusy ? "line busy"
-       : held.lastEnding == Ending::timedOut ? "no answer in time"
-       : held.lastEnding == Ending::reset    ? "reset"
-                                             : "no way in time");
+  tell(OfficeEvent::What::refused, &held, held.at,
+       held.destination == nullptr                   ? "no such number"
+       : held.lastReason == BlockingReason::lineBusy ? "line busy"
+       : held.lastEnding == InviteOutcome::timedOut  ? "no answer in time"
+       : held.lastEnding == InviteOutcome::reset     ? "reset"
+                                                     : "no way in time");
   if (held.destination == nullptr) {
-    return answerNo(held, Why::noRoute, false, Span::none(), kNoRoute, "no such number");
+    return answerNo(held, ReleaseReason::noRoute, false, Span::none(), kNoRoute, "no such number");
   }
-  if (held.lastReason == Reason::lineBusy) {
-    return answerNo(held, Why::lineBusy, false, retryAfter, kBusy, "all lines busy");
+  if (held.lastReason == BlockingReason::lineBusy) {
+    return answerNo(held, ReleaseReason::lineBusy, false, retryAfter, kBusy, "all lines busy");
   }
-  if (held.lastEnding == Ending::timedOut || held.lastEnding == Ending::reset) {
-    return answerNo(held, Why::none, false, retryAfter, kTemporary, "not set up in time");
+  if (held.lastEnding == InviteOutcome::timedOut || held.lastEnding == InviteOutcome::reset) {
+    return answerNo(held, ReleaseReason::none, false, retryAfter, kTemporary, "not set up in time");
   }
-  answerNo(held, held.lastReason == Reason::processorFull ? Why::processorFull : Why::noCircuit, false, retryAfter,
-           held.lastReason == Reason::processorFull ? kCongestion : kNoCircuit, "no way now");
+  answerNo(
+      held, held.lastReason == BlockingReason::processorFull ? ReleaseReason::processorFull : ReleaseReason::noCircuit,
+      false, retryAfter, held.lastReason == BlockingReason::processorFull ? kCongestion : kNoCircuit, "no way now");
 }
 
-void Office::wakeIn(Span delay) { wakeAt_ = now_ + delay; }
+void Office::scheduleWakeUp(Span delay) { wakeAt_ = now_ + delay; }
 
 void Office::subscribe() {
   texts_.emplace_back(fleet_.directory, std::string(kAsk));
   askedAt_ = now_;
 }
 
-void Office::tell(Happening::What what, const Held* held, const Peer* peer, std::string_view reason) const {
-  if (!watch_) return;
-  watch_({what, held == nullptr ? 0 : held->id, peer == nullptr ? std::string_view() : peer->site.name, reason});
+void Office::tell(OfficeEvent::What what, const Held* held, const Peer* peer, std::string_view reason) const {
+  if (!observer_) return;
+  observer_({what, held == nullptr ? 0 : held->id, peer == nullptr ? std::string_view() : peer->site.name, reason});
 }
 
 // ---- Rounds ----------------------------------------------------------------------------------------------
 
-void Office::turn(Instant now, const Outlet& out) {
+void Office::process(Instant now, const DatagramSender& out) {
   now_ = now;
   endpoint_.expire(now);
   while (!giveUps_.empty() && (*giveUps_.begin())->giveUpAt <= now) {
@@ -888,7 +896,7 @@
   // An INVITE that finds no circuit comes back at once and is decided on again; each costs the session one of
   // its INVITEs, so this ends by itself.
   while (!stopping_ && (!events_.empty() || !changed_.empty() || wakeAt_ <= now)) {
-    ++tally_.rounds;
+    ++counters_.rounds;
     if (wakeAt_ <= now) wakeAt_ = Instant::never();
     controller_->round(now, *this, *this);
   }
@@ -903,7 +911,7 @@
   }
 }
 
-Instant Office::nextTurn() const {
+Instant Office::nextDeadline() const {
   Instant next = std::min(endpoint_.nextDue(), pokeAt_);
   if (!stopping_) {
     next = std::min(next, wakeAt_);
@@ -934,14 +942,15 @@
     due(held, Instant::never());
     if (held.state == Held::State::over) continue;
     if (held.state == Held::State::standing) --standing_;
-    if (held.out != nullptr) hangUp(*held.out, Why::reset, kOutOfOrder);
-    answerNo(held, held.transit ? Why::reset : Why::none, false, Span::ms(1000), kOutOfOrder, "going out of service");
+    if (held.out != nullptr) hangUp(*held.out, ReleaseReason::reset, kOutOfOrder);
+    answerNo(held, held.transit ? ReleaseReason::reset : ReleaseReason::none, false, Span::ms(1000), kOutOfOrder,
+             "going out of service");
   }
 }
 
 // ---- Other offices, the own exchange, the directory ------------------------------------------------------
 
-iax2::Elements Office::greeting(iax2::Address) {
+iax2::Elements Office::pongElements(iax2::Address) {
   iax2::Elements e = withRoom(nullptr);
   e.origin = static_cast<std::uint16_t>(setting_.place);
   e.started = startMark_;
@@ -965,7 +974,7 @@
   }
 }
 
-void Office::ponged(iax2::Address from, const iax2::Frame& frame) {
+void Office::onPong(iax2::Address from, const iax2::Frame& frame) {
   Peer* peer = nullptr;
   if (from == own_->site.processor) {
     peer = own_;
@@ -980,10 +989,10 @@
   const auto ago = static_cast<std::int32_t>(iax2::pokeStamp(now_) - frame.timestamp);
   const Instant aliveAt = now_ - Span::ms(ago);
   if (ago < 0 || now_ - aliveAt > setting_.peerSilent || aliveAt + Span::ms(1) < peer->aliveAt) return;
-  if (peer->silent) tell(Happening::What::peerBack, nullptr, peer, "");
+  if (peer->silent) tell(OfficeEvent::What::peerBack, nullptr, peer, "");
   peer->silent = false;
   const std::uint64_t mark = *frame.elements.started;
-  if (peer != own_) mirrors_.started(peer->place, mark);
+  if (peer != own_) peerUsage_.started(peer->place, mark);
   if (peer->mark != 0 && mark != peer->mark) lose(*peer, true);
   peer->mark = mark;
   peer->aliveAt = aliveAt;
@@ -996,7 +1005,7 @@
 
 /// A peer was started anew and knows none of its sessions, or has been silent for too long.
 void Office::lose(Peer& peer, bool restarted) {
-  tell(Happening::What::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
+  tell(OfficeEvent::What::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
   peer.silent = !restarted;
   // What it could take was said of the processor before.
   if (&peer == own_) own_->canTake = -1;
@@ -1013,7 +1022,7 @@
     }
     if (restarted) {
       endpoint_.forget(*leg->call);
-      gone(*leg, iax2::Gone::unknown);
+      onCallEnded(*leg, iax2::CallEnd::unknown);
     } else {
       cutLeg(*leg);
     }
@@ -1025,13 +1034,13 @@
   Held* held = leg.held;
   if (held == nullptr) return;  // it is being ended already
   const bool out = leg.out;
-  hangUp(leg, Why::reset, kOutOfOrder);
+  hangUp(leg, ReleaseReason::reset, kOutOfOrder);
   if (held->state == Held::State::standing) {
     over(*held, true, nullptr);
   } else if (!out) {
     callerLeft(*held);
   } else {
-    failed(*held, Ending::reset, Reason::none, false, Span::none());
+    failed(*held, InviteOutcome::reset, BlockingReason::none, false, Span::none());
   }
 }
 
@@ -1052,19 +1061,19 @@
 void Office::list(const ExchangeList& list) {
   const bool older = std::pair(list.directory, list.version) <= std::pair(listFrom_, listVersion_);
   if (older && (list.directory == listFrom_ || now_ - listAt_ <= kDirectoryTerm)) {
-    ++tally_.listsStale;
+    ++counters_.listsStale;
     return;
   }
   listFrom_ = list.directory;
   listVersion_ = list.version;
   listAt_ = now_;
   askedAt_ = Instant::never();
-  ++tally_.listsTaken;
+  ++counters_.listsTaken;
   const auto tellModule = [&](Peer& peer, Readiness readiness, Instant started) {
     if (peer.told == readiness && peer.started == started) return;
     peer.told = readiness;
     if (&peer == own_) own_->canTake = -1;
-    tell(Happening::What::listed, nullptr, &peer,
+    tell(OfficeEvent::What::listed, nullptr, &peer,
          readiness == Readiness::ready      ? "ready"
          : readiness == Readiness::draining ? "draining"
                                             : "gone");
@@ -1075,7 +1084,7 @@
     event(listed);
   };
   std::vector<bool> named(peers_.size());
-  for (const Listing& one : list.listings) {
+  for (const ListEntry& one : list.entries) {
     if (static_cast<std::size_t>(one.place) >= peers_.size()) continue;
     Peer& peer = *peers_[static_cast<std::size_t>(one.place)];
     named[static_cast<std::size_t>(one.place)] = true;
@@ -1095,17 +1104,17 @@
 }
 
 /// The account's cell for a leg of this session to that office; null where it stays in its zone.
-zones::Cell* Office::cellOf(const Held& held, const Peer& to) {
+zones::UsageCell* Office::cellOf(const Held& held, const Peer& to) {
   const int from = zoneOf_[static_cast<std::size_t>(setting_.place)];
   const int there = zoneOf_[static_cast<std::size_t>(to.place)];
   if (from == there) return nullptr;
-  const zones::Way way = held.transit              ? zones::Way::second
-                         : &to == held.destination ? zones::Way::direct
-                                                   : zones::Way::first;
+  const zones::LegKind way = held.transit              ? zones::LegKind::second
+                             : &to == held.destination ? zones::LegKind::direct
+                                                       : zones::LegKind::first;
   return &ledger_.cell({from, there, static_cast<int>(held.offer), way});
 }
 
-const Trunk* Office::trunk(int place) const {
+const TrunkGroup* Office::trunk(int place) const {
   const Peer& peer = *peers_[static_cast<std::size_t>(place)];
   return peer.own || peer.trunk.size() == 0 ? nullptr : &peer.trunk;
 }
@@ -1117,24 +1126,24 @@
   out << "{\"office\":\"" << own_->site.name << "\",\"up_ms\":" << static_cast<std::int64_t>((now - started_).ms())
       << ",\"stopping\":" << (stopping_ ? "true" : "false") << ",\"sessions\":" << held_.size()
       << ",\"standing\":" << standing_ << ",\"legs\":" << legs_.size();
-  const std::pair<const char*, std::uint64_t> counts[] = {{"dialled", tally_.dialled},
-                                                          {"transit", tally_.transit},
-                                                          {"terminating", tally_.terminating},
-                                                          {"invites", tally_.invites},
-                                                          {"two_leg", tally_.twoLeg},
-                                                          {"stood", tally_.stood},
-                                                          {"refused", tally_.refused},
-                                                          {"abandoned", tally_.abandoned},
-                                                          {"cut", tally_.cut},
-                                                          {"turned_back", tally_.turnedBack},
-                                                          {"no_circuit", tally_.noCircuit},
-                                                          {"timed_out", tally_.timedOut},
-                                                          {"reset", tally_.reset},
-                                                          {"over_full", tally_.overFull},
-                                                          {"rounds", tally_.rounds},
-                                                          {"lists", tally_.listsTaken},
-                                                          {"lists_stale", tally_.listsStale},
-                                                          {"unreadable", tally_.unreadable},
+  const std::pair<const char*, std::uint64_t> counts[] = {{"dialled", counters_.dialled},
+                                                          {"transit", counters_.transit},
+                                                          {"terminating", counters_.terminating},
+                                                          {"invites", counters_.invites},
+                                                          {"two_leg", counters_.twoLeg},
+                                                          {"stood", counters_.stood},
+                                                          {"refused", counters_.refused},
+                                                          {"abandoned", counters_.abandoned},
+                                                          {"cut", counters_.cut},
+                                                          {"turned_back", counters_.turnedBack},
+                                                          {"no_circuit", counters_.noCircuit},
+                                                          {"timed_out", counters_.timedOut},
+                                                          {"reset", counters_.reset},
+                                                          {"over_full", counters_.overFull},
+                                                          {"rounds", counters_.rounds},
+                                                          {"lists", counters_.listsTaken},
+                                                          {"lists_stale", counters_.listsStale},
+                                                          {"unreadable", counters_.unreadable},
                                                           {"datagrams_in", wire().received},
                                                           {"datagrams_out", wire().sent},
                                                           {"malformed", wire().malformed},
@@ -1151,8 +1160,8 @@
                                                : "gone")
         << "\",\"own\":" << (peer.own ? "true" : "false") << ",\"circuits\":" << peer.trunk.size()
         << ",\"free\":" << peer.trunk.free() << ",\"silent\":" << (peer.silent ? "true" : "false")
-        << ",\"doubtful\":" << (peer.doubtedAt != Instant::longAgo() ? "true" : "false")
-        << ",\"ringing\":" << peer.ringing.size() << '}';
+        << ",\"doubtful\":" << (peer.suspectedAt != Instant::longAgo() ? "true" : "false")
+        << ",\"ringing\":" << peer.pendingInvites.size() << '}';
   }
   out << "]}";
   return out.str();
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 // The session engine of one office, between the signalling and the module. Free of I/O, clock and threads.
-// Frames become the module's Arrivals, the module's Writer becomes frames. Routes nothing by itself: every INVITE
-// that leaves an office was written by the module, but for the last step from the destination's office into its
+// Frames become the module's RoundEvents, the module's DecisionSink becomes frames. Routes nothing by itself: every
+// INVITE that leaves an office was written by the module, but for the last step from the destination's office into its
 // own exchange, where there is nothing left to choose.
 
 #include <cstdint>
@@ -30,59 +30,59 @@
 namespace thistlefold {
 
 /// What an office tells those who watch it. Logs are written from this; nothing flows back.
-struct Happening {
+struct OfficeEvent {
   enum class What { taken, invited, stood, ended, refused, cut, peerLost, peerBack, listed };
   What what;
   std::uint64_t session = 0;
   std::string_view exchange;  // the other place involved, or empty
   std::string_view reason;
 };
-using Watch = std::function<void(const Happening&)>;
+using OfficeObserver = std::function<void(const OfficeEvent&)>;
 
 /// Makes the controller; a rogue one is put in its place by tests of the audit.
-using MakeController = std::function<std::unique_ptr<Controller>(const OfficeData&, std::uint64_t seed)>;
+using ControllerFactory = std::function<std::unique_ptr<Controller>(const OfficeConfig&, std::uint64_t seed)>;
 
 /// Bounds and spans of one office that are not the fleet's.
-struct OfficeSetting {
+struct OfficeOptions {
   int place = 0;
   std::uint64_t seed = 1;
   std::size_t mostSessions = 20000;  // held at once; a NEW beyond is refused at once, counted
   Span peerPoke = Span::ms(1000);    // how often other offices are asked for a sign of life
   Span peerSilent = Span::ms(6000);  // silence after which sessions over a peer are given up: six signs missed
   Span exchangePoke = Span::ms(300);
-  iax2::Patience patience;
+  iax2::DialogueTiming timing;
 };
 
 /// Counts since the start. Stood, refused, abandoned and cut are sessions dialled here; what is in transit or
 /// terminating belongs to the office where it was dialled.
-struct OfficeTally {
+struct OfficeCounters {
   std::uint64_t dialled = 0, transit = 0, terminating = 0, invites = 0, twoLeg = 0, stood = 0, refused = 0,
                 abandoned = 0, cut = 0, turnedBack = 0, noCircuit = 0, timedOut = 0, reset = 0, overFull = 0,
                 rounds = 0, listsTaken = 0, listsStale = 0, unreadable = 0;
 };
 
-class Office final : public Station, private iax2::Door, private Arrivals, private Writer {
+class Office final : public DatagramHandler, private iax2::CallListener, private RoundEvents, private DecisionSink {
  public:
   /// `fleet` must outlive the office.
-  Office(const Fleet& fleet, OfficeSetting setting, Instant now, const MakeController& make = openOffice,
-         Watch watch = {});
+  Office(const Fleet& fleet, OfficeOptions setting, Instant now, const ControllerFactory& make = makeController,
+         OfficeObserver observer = {});
   ~Office() override;
 
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
-  void turn(Instant now, const Outlet& out) override;
-  Instant nextTurn() const override;
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
+  void process(Instant now, const DatagramSender& out) override;
+  Instant nextDeadline() const override;
 
   /// Takes nothing new from now on and ends all it holds, each with one answer.
   void stop(Instant now);
   /// Everything has been ended and confirmed, or given up.
   bool stopped() const { return stopping_ && legs_.empty() && held_.empty(); }
 
-  const OfficeTally& tally() const { return tally_; }
+  const OfficeCounters& counters() const { return counters_; }
   const iax2::Counts& wire() const { return endpoint_.counts(); }
   std::size_t sessions() const { return held_.size(); }
   std::size_t standing() const { return standing_; }
   /// This end's count of the group to `place`; null where there is none.
-  const Trunk* trunk(int place) const;
+  const TrunkGroup* trunk(int place) const;
   Readiness told(int place) const;
   /// Budgets between zones from now on: new legs obey, standing ones are left to end unless the budget says else.
   void budgets(Instant now, const std::vector<zones::Budget>& budgets);
@@ -101,33 +101,33 @@
   struct Peer;
   struct Event;
 
-  // Door
-  void opened(iax2::Call& call, const iax2::Frame& frame) override;
-  void ponged(iax2::Address from, const iax2::Frame& frame) override;
-  iax2::Elements greeting(iax2::Address to) override;
-  // Arrivals
+  // CallListener
+  void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override;
+  void onPong(iax2::Address from, const iax2::Frame& frame) override;
+  iax2::Elements pongElements(iax2::Address to) override;
+  // RoundEvents
   void deliver(Controller& controller) override;
-  // Writer
+  // DecisionSink
   void invite(const Session& session, const Exchange& to, Span giveUpAfter) override;
-  void busy(const Session& session, Span retryAfter) override;
-  void surrender(const Session& session) override;
-  void wakeIn(Span delay) override;
+  void rejectBusy(const Session& session, Span retryAfter) override;
+  void failUncertain(const Session& session) override;
+  void scheduleWakeUp(Span delay) override;
   void subscribe() override;
 
   void fromCaller(iax2::Call& call, const iax2::Frame& frame);
   void fromPeer(Peer& peer, iax2::Call& call, const iax2::Frame& frame);
   void terminate(Held& held);
-  void heard(Leg& leg, const iax2::Frame& frame);
-  void gone(Leg& leg, iax2::Gone how);
+  void onFrame(Leg& leg, const iax2::Frame& frame);
+  void onCallEnded(Leg& leg, iax2::CallEnd how);
   void answered(Held& held);
-  void failed(Held& held, Ending ending, Reason reason, bool beyond, Span wait);
+  void failed(Held& held, InviteOutcome ending, BlockingReason reason, bool beyond, Span wait);
   void over(Held& held, bool cut, const Leg* by);
   void callerLeft(Held& held);
   void giveUp(Held& held);
-  void reject(iax2::Call& call, iax2::Why why, std::uint8_t code, std::string_view text, Span wait);
+  void reject(iax2::Call& call, iax2::ReleaseReason why, std::uint8_t code, std::string_view text, Span wait);
   void refuse(Held& held, Span retryAfter);
-  void answerNo(Held& held, iax2::Why why, bool beyond, Span wait, std::uint8_t code, std::string_view text);
-  void hangUp(Leg& leg, iax2::Why why, std::uint8_t code);
+  void answerNo(Held& held, iax2::ReleaseReason why, bool beyond, Span wait, std::uint8_t code, std::string_view text);
+  void hangUp(Leg& leg, iax2::ReleaseReason why, std::uint8_t code);
   void settle(Leg& leg);
   void unlink(Leg& leg);
   void due(Held& held, Instant at);
@@ -135,27 +135,27 @@
   void resize(Peer& peer, int circuits);
   void cutLeg(Leg& leg);
   void lose(Peer& peer, bool restarted);
-  zones::Pool* poolOf(const Peer& to);
+  zones::LeasedBudget* poolOf(const Peer& to);
   std::pair<int, int> shown(const Peer& peer);
   void told(Peer& peer, Controller& controller);
-  void budgetChanged(const zones::Pool& pool);
+  void budgetChanged(const zones::LeasedBudget& pool);
   void setBudgets(const std::vector<zones::Budget>& budgets);
   void tendPools();
-  void endCheapest(const zones::Pool& pool, int circuits);
-  zones::Cell* cellOf(const Held& held, const Peer& to);
+  void endCheapest(const zones::LeasedBudget& pool, int circuits);
+  zones::UsageCell* cellOf(const Held& held, const Peer& to);
   void pokeWhoIsDue();
   Leg& newLeg(Held& held, iax2::Call& call, Peer* peer, int circuits, bool out);
   Held& newHeld(std::uint64_t id, const iax2::Frame& frame, std::size_t service);
   void event(Event event);
   void changed(Peer& peer);
-  void tell(Happening::What what, const Held* held, const Peer* peer, std::string_view reason) const;
+  void tell(OfficeEvent::What what, const Held* held, const Peer* peer, std::string_view reason) const;
   iax2::Elements opening(const Held& held, int towards, Span timeLeft) const;
   iax2::Elements withRoom(const Held* held) const;
   void sweep();
 
   const Fleet& fleet_;
-  OfficeSetting setting_;
-  Watch watch_;
+  OfficeOptions setting_;
+  OfficeObserver observer_;
   Instant now_;
   Instant started_;
   iax2::Endpoint endpoint_;
@@ -183,18 +183,18 @@
   std::uint32_t serial_ = 0;
   std::size_t standing_ = 0;
   bool stopping_ = false;
-  OfficeTally tally_;
+  OfficeCounters counters_;
   std::vector<std::string> zoneNames_;  // in order of appearance in the fleet file
   std::vector<int> zoneOf_;             // by place
-  zones::Ledger ledger_;
+  zones::UsageLedger ledger_;
   std::vector<zones::TopUsers> users_;  // by zone that their legs go to
   struct BudgetChange {
     Instant at;
     int zone, circuits;
   };
-  std::vector<BudgetChange> budgetChanges_;          // the last of them
-  zones::Mirrors mirrors_;                           // what other offices sent here across zones
-  std::vector<std::unique_ptr<zones::Pool>> pools_;  // by zone that a leg goes to
+  std::vector<BudgetChange> budgetChanges_;                  // the last of them
+  zones::PeerUsage peerUsage_;                               // what other offices sent here across zones
+  std::vector<std::unique_ptr<zones::LeasedBudget>> pools_;  // by zone that a leg goes to
 };
 
 }  // namespace thistlefold
--- a/src/office/trunk_group.hpp
+++ b/src/office/trunk_group.hpp
@@ -6,11 +6,11 @@
 
 /// One end's count of the circuits of a trunk group. Both ends count every session that crosses, each for
 /// itself; the two counts differ only while a frame is on its way. Decides glare; no I/O.
-class Trunk {
+class TrunkGroup {
  public:
   /// `controlling`: of the two ends, the one that keeps its own session when both seize the last circuits at
   /// once. Exactly one end of a group is (the one of the lower place).
-  Trunk(int size, bool controlling) : size_(size), controlling_(controlling) {}
+  TrunkGroup(int size, bool controlling) : size_(size), controlling_(controlling) {}
 
   int size() const { return size_; }
   int held() const { return held_; }
--- a/src/office/zones_report.cpp
+++ b/src/office/zones_report.cpp
@@ -30,11 +30,11 @@
   ledger_.settle(now);
   std::ostringstream out;
   bool first = true;
-  const auto cell = [&](const zones::Key& key, const zones::Sums& sums, int held) {
+  const auto cell = [&](const zones::Key& key, const zones::UsageTotals& sums, int held) {
     static constexpr const char* kParts[] = {"direct", "first", "second"};
     out << (std::exchange(first, false) ? "" : ",") << "{\"from\":\"" << zoneNames_[static_cast<std::size_t>(key.from)]
         << "\",\"to\":\"" << zoneNames_[static_cast<std::size_t>(key.to)] << "\",\"service\":\""
-        << fleet_.offers[static_cast<std::size_t>(key.service)].name << "\",\"part\":\""
+        << fleet_.offeredServices[static_cast<std::size_t>(key.service)].name << "\",\"part\":\""
         << kParts[static_cast<std::size_t>(key.way)] << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
         << ",\"cut\":" << sums.cut << ",\"refused\":" << sums.refused << ",\"held\":" << held
         << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
@@ -43,12 +43,12 @@
   for (const auto& [key, one] : ledger_.cells()) cell(key, one->total(), one->held());
   out << "],\"inherited\":[";
   first = true;
-  for (const auto& [key, sums] : mirrors_.inherited()) cell(key, sums, 0);
+  for (const auto& [key, sums] : peerUsage_.inherited()) cell(key, sums, 0);
   out << "],\"budgets\":[";
   first = true;
   const auto& here = zoneNames_[static_cast<std::size_t>(zoneOf_[static_cast<std::size_t>(setting_.place)])];
   for (std::size_t zone = 0; zone < pools_.size(); ++zone) {
-    zones::Pool& pool = *pools_[zone];
+    zones::LeasedBudget& pool = *pools_[zone];
     if (!pool.bounded()) continue;
     const zones::Budget& budget = *pool.budget();
     const zones::Part& part = pool.part();
@@ -65,9 +65,9 @@
           << ",\"next_period_in_ms\":" << static_cast<std::int64_t>(allowance.untilNext(now).ms());
     }
     out << ",\"classes\":[";
-    for (std::size_t i = 0; i < fleet_.offers.size(); ++i) {
+    for (std::size_t i = 0; i < fleet_.offeredServices.size(); ++i) {
       const zones::ClassShare& share = part.bounds()->classes[i];
-      out << (i > 0 ? "," : "") << "{\"service\":\"" << fleet_.offers[i].name
+      out << (i > 0 ? "," : "") << "{\"service\":\"" << fleet_.offeredServices[i].name
           << "\",\"guaranteed\":" << share.guaranteed << ",\"most\":" << share.most.value_or(-1)
           << ",\"held\":" << part.heldBy(i) << '}';
     }
@@ -105,19 +105,19 @@
       << zoneNames_[zone] << "\",\"level\":\"" << level << "\",\"span_ms\":" << span << ",\"buckets\":[";
   bool first = true, whole = true;
   for (std::uint64_t ago = 0; ago < room && ago <= newest && whole; ++ago) {
-    for (std::size_t service = 0; service < fleet_.offers.size(); ++service) {
-      zones::Sums sums;
+    for (std::size_t service = 0; service < fleet_.offeredServices.size(); ++service) {
+      zones::UsageTotals sums;
       for (const auto& [key, cell] : ledger_.cells()) {
         if (key.to != static_cast<int>(zone) || key.service != static_cast<int>(service)) continue;
         const std::uint64_t number = newest - ago;
-        const zones::Sums* one = level == "second"   ? cell->seconds().find(number)
-                                 : level == "minute" ? cell->minutes().find(number)
-                                                     : cell->hours().find(number);
+        const zones::UsageTotals* one = level == "second"   ? cell->seconds().find(number)
+                                        : level == "minute" ? cell->minutes().find(number)
+                                                            : cell->hours().find(number);
         if (one != nullptr) sums += *one;
       }
-      if (sums == zones::Sums()) continue;
+      if (sums == zones::UsageTotals()) continue;
       out << (std::exchange(first, false) ? "" : ",") << "{\"ago\":" << ago << ",\"service\":\""
-          << fleet_.offers[service].name << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
+          << fleet_.offeredServices[service].name << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
           << ",\"cut\":" << sums.cut << ",\"refused\":" << sums.refused
           << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
     }
--- a/src/pages/zones_account.hpp
+++ b/src/pages/zones_account.hpp
@@ -9,11 +9,11 @@
 
 namespace thistlefold::pages {
 
-struct Line : zones::Sums {
+struct Line : zones::UsageTotals {
   std::int64_t held = 0;
 
   Line& operator+=(const Line& other) {
-    zones::Sums::operator+=(other);
+    zones::UsageTotals::operator+=(other);
     held += other.held;
     return *this;
   }
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -54,7 +54,7 @@
   for (std::size_t at = 0; at < payload.size(); at += kRecord) {
     const std::string_view record = payload.substr(at, kRecord);
     Place place;
-    place.listing.id = static_cast<std::uint32_t>(number(record.substr(0, 4)));
+    place.entry.id = static_cast<std::uint32_t>(number(record.substr(0, 4)));
     place.address = {static_cast<std::uint32_t>(number(record.substr(4, 4))),
                      static_cast<std::uint16_t>(number(record.substr(8, 2)))};
     const auto state = number(record.substr(10, 1));
@@ -62,10 +62,10 @@
       readable_ = false;
       return std::nullopt;
     }
-    place.listing.readiness = state == 0 ? Readiness::ready : state == 1 ? Readiness::draining : Readiness::gone;
-    place.listing.placed = true;
-    place.listing.place = static_cast<int>(number(record.substr(13, 2)));
-    place.listing.started = started(static_cast<double>(number(record.substr(19, 8))));
+    place.entry.readiness = state == 0 ? Readiness::ready : state == 1 ? Readiness::draining : Readiness::gone;
+    place.entry.placed = true;
+    place.entry.place = static_cast<int>(number(record.substr(13, 2)));
+    place.entry.started = started(static_cast<double>(number(record.substr(19, 8))));
     event.places.push_back(place);
   }
   waiting_.erase(0, 4 + length);
@@ -75,32 +75,32 @@
 std::vector<BulletinEvent> readKnown(const wire::Value& known) {
   std::vector<BulletinEvent> events;
   for (const auto& item : wire::array(known, "items").GetArray()) {
-    if (!item.IsObject()) wire::wrong("items", "objects are wanted");
+    if (!item.IsObject()) wire::failField("items", "objects are wanted");
     BulletinEvent event;
     const double number = wire::number(item, "no");
     // Whole numbers up to there are exact.
     if (!(number >= 1 && number <= 9e15 && number == std::floor(number)))
-      wire::wrong("no", "a number from 1 is wanted");
+      wire::failField("no", "a number from 1 is wanted");
     event.number = static_cast<std::uint64_t>(number);
     const auto& roster = wire::object(item, "roster");
-    event.whole = wire::mark(roster, "all");
+    event.whole = wire::flag(roster, "all");
     for (const auto& target : wire::array(roster, "targets").GetArray()) {
-      if (!target.IsObject()) wire::wrong("targets", "objects are wanted");
+      if (!target.IsObject()) wire::failField("targets", "objects are wanted");
       Place place;
       const auto id = readExchangeId(wire::name(target, "uid"));
-      if (!id) wire::wrong("uid", "s- and 8 hex digits are wanted");
+      if (!id) wire::failField("uid", "s- and 8 hex digits are wanted");
       const auto address = iax2::parseAddress(wire::name(target, "endpoint"));
-      if (!address) wire::wrong("endpoint", "an address and a port are wanted");
+      if (!address) wire::failField("endpoint", "an address and a port are wanted");
       const std::string_view state = wire::name(target, "state");
-      if (state != "ready" && state != "draining" && state != "gone") wire::wrong("state", "no such state");
-      place.listing.id = *id;
+      if (state != "ready" && state != "draining" && state != "gone") wire::failField("state", "no such state");
+      place.entry.id = *id;
       place.address = *address;
-      place.listing.readiness = state == "ready"      ? Readiness::ready
-                                : state == "draining" ? Readiness::draining
-                                                      : Readiness::gone;
-      place.listing.placed = wire::find(target, "pod_group") != nullptr;
-      place.listing.place = wire::integer(target, "pod_group", -1);
-      place.listing.started = started(wire::number(target, "boot_ms", 0));
+      place.entry.readiness = state == "ready"      ? Readiness::ready
+                              : state == "draining" ? Readiness::draining
+                                                    : Readiness::gone;
+      place.entry.placed = wire::find(target, "pod_group") != nullptr;
+      place.entry.place = wire::integer(target, "pod_group", -1);
+      place.entry.started = started(wire::number(target, "boot_ms", 0));
       event.places.push_back(place);
     }
     events.push_back(std::move(event));
--- a/src/platform/bulletin.hpp
+++ b/src/platform/bulletin.hpp
@@ -16,7 +16,7 @@
 
 /// Where a listed exchange is reached.
 struct Place {
-  wire::Listing listing;
+  wire::ListEntry entry;
   iax2::Address address;
 };
 
@@ -44,7 +44,7 @@
   bool readable_ = true;
 };
 
-/// The `known` of a configuration. Throws wire::WireFault.
+/// The `known` of a configuration. Throws wire::ParseError.
 std::vector<BulletinEvent> readKnown(const wire::Value& known);
 
 }  // namespace thistlefold::platform
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -112,7 +112,7 @@
 void Softswitch::overFull(CallerSide& side, std::string_view id) {
   ++counts_.overBound;
   Fields fields;
-  if (deployment_.data.takesRetryAfter) fields.emplace_back("wait", milliseconds(deployment_.data.longestRetryAfter));
+  if (deployment_.data.honoursRetryAfter) fields.emplace_back("wait", milliseconds(deployment_.data.longestRetryAfter));
   side.stream->send(writeMessage(Kind::release, id, fields, kOverFull));
 }
 
@@ -164,7 +164,7 @@
   call.serviceAt = serviceAt;
   call.service = &deployment_.data.services[serviceAt];
   call.width = width;
-  call.destination = roster_.at(*dest);
+  call.destination = registry_.at(*dest);
   call.timerLimit = std::min(now_ + Span::ms(*left), leaveAt_ - kLeaveTaking * 0.5);
   call.dialledNumber = *number;
   call.transit = figureOf("transit").value_or(0) == 1;
@@ -174,14 +174,14 @@
   ++openCalls_;
   ++counts_.taken;
   calls_.emplace(call.id, std::move(made));
-  events_.push_back([&call](Controller& to) { to.incoming(call); });
+  events_.push_back([&call](Controller& to) { to.sessionArrived(call); });
 }
 
 // A call that stood before this softswitch started: it is the caller's and the exchange's already, so the module hears
 // nothing of it; only its end is passed on.
 void Softswitch::standsAlready(CallerSide& side, const Message& message, std::string_view at) {
   const auto id = readExchangeId(at);
-  auto* peer = id ? static_cast<Peer*>(roster_.known(*id)) : nullptr;
+  auto* peer = id ? static_cast<Peer*>(registry_.known(*id)) : nullptr;
   if (const auto held = calls_.find(message.id); held != calls_.end()) {
     if (held->second->state == Call::State::standing && held->second->peer == peer) {
       side.proven = side.trusted = true;
@@ -216,7 +216,7 @@
     std::erase(call.peer->standing, &call);
     if (call.ofModule) {
       events_.push_back([&call, at = call.peer](Controller& to) {
-        to.ended(call, *at, Ending::cancelled, Reason::none, false, Span::none(), true);
+        to.inviteEnded(call, *at, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
       });
     }
     call.state = Call::State::done;
@@ -234,8 +234,8 @@
     if (side.up) release(*peer, &side, call.id, kNormal);
   }
   events_.push_back([&call, ringing, peer](Controller& to) {
-    to.abandoned(call);
-    if (ringing) to.ended(call, *peer, Ending::cancelled, Reason::none, false, Span::none(), true);
+    to.sessionAbandoned(call);
+    if (ringing) to.inviteEnded(call, *peer, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
   });
   if (call.caller != nullptr) --call.caller->open;
   --openCalls_;
--- a/src/platform/deployment.hpp
+++ b/src/platform/deployment.hpp
@@ -21,7 +21,7 @@
   int connections = 240;          // at once, of any kind; what the descriptors leave
   std::size_t memory = 32 << 20;  // bytes
   std::vector<BulletinEvent> known;
-  OfficeData data;
+  OfficeConfig data;
   int here = -1;                      // the own exchange's place
   std::vector<std::string> services;  // names, in the order of `data.services`
   std::vector<double> widths;         // circuits, where a set-up names none
@@ -30,7 +30,7 @@
   Span connectWithin;
 };
 
-/// Throws wire::WireFault with the field or the offset.
+/// Throws wire::ParseError with the field or the offset.
 Deployment readDeployment(std::string_view text);
 
 }  // namespace thistlefold::platform
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -48,7 +48,7 @@
   if (!peer.sides.empty()) return false;
   Peer* most = nullptr;
   TrunkSide* spare = nullptr;
-  for (const auto& [id, listed] : roster_.all()) {
+  for (const auto& [id, listed] : registry_.all()) {
     auto& other = static_cast<Peer&>(*listed);
     if (other.sides.size() < 2 || (most != nullptr && other.sides.size() <= most->sides.size())) continue;
     const auto idle = std::find_if(other.sides.begin(), other.sides.end(),
@@ -58,7 +58,7 @@
     spare = idle->get();
   }
   if (spare == nullptr) return false;
-  lose(*spare, Ending::unreachable);
+  lose(*spare, InviteOutcome::unreachable);
   return true;
 }
 
@@ -125,7 +125,7 @@
     // No descriptor is left and no connection stands, or nobody is there any more: it never left.
     ++counts_.overBound;
     events_.push_back([&call, &peer](Controller& controller) {
-      controller.ended(call, peer, Ending::moot, Reason::none, false, Span::none(), false);
+      controller.inviteEnded(call, peer, InviteOutcome::notSent, BlockingReason::none, false, Span::none(), false);
     });
     return;
   }
@@ -165,7 +165,7 @@
     if (!leaving && call->sentAt >= peer.anewAt) continue;
     ++counts_.takenBack;
     std::erase(side.ringing, call);
-    ended(*call, Ending::moot);
+    ended(*call, InviteOutcome::notSent);
   }
 }
 
@@ -189,8 +189,8 @@
   }
   if (!(size || canTake)) return;
   events_.push_back([&peer, free, size, canTake](Controller& to) {
-    if (size) to.circuits(peer, free.value_or(0), *size);
-    if (canTake) to.reported(peer, *canTake);
+    if (size) to.circuitsChanged(peer, free.value_or(0), *size);
+    if (canTake) to.capacityReported(peer, *canTake);
   });
 }
 
@@ -198,7 +198,7 @@
   const auto message = readMessage(line);
   if (!message) {
     ++counts_.spoilt;
-    return lose(side, Ending::reset);
+    return lose(side, InviteOutcome::reset);
   }
   side.heard = side.peer->alive = now_;
   side.peer->untaken = 0;
@@ -220,14 +220,14 @@
     if (!ringsHere) return;  // a copy, or another's
     if (message->description.empty()) {
       ++counts_.spoilt;
-      return lose(side, Ending::reset);
+      return lose(side, InviteOutcome::reset);
     }
     return answeredBy(side, *call, message->description);
   }
   if (ringsHere) return releasedBy(side, *call, *message);
   if (standsHere) {
     const int cause = message->cause.value_or(kFailed);
-    over(*call, cause == kNormal ? Ending::ok : Ending::reset, cause);
+    over(*call, cause == kNormal ? InviteOutcome::released : InviteOutcome::reset, cause);
   }
 }
 
@@ -247,45 +247,46 @@
     call.caller->spoke = now_;
     call.caller->stream->send(writeMessage(Kind::answer, call.id, {}, -1, description));
   }
-  events_.push_back([&call, delay = now_ - call.sentAt](Controller& to) { to.accepted(call, delay); });
+  events_.push_back([&call, delay = now_ - call.sentAt](Controller& to) { to.inviteAccepted(call, delay); });
 }
 
 void Softswitch::releasedBy(TrunkSide& side, Call& call, const Message& message) {
   std::erase(side.ringing, &call);
   const int cause = message.cause.value_or(kFailed);
   const std::string_view note = message.field("note").value_or("");
-  const Reason reason = note == "atb"                     ? Reason::noCircuit
-                        : note == "rtb" || note == "racc" ? Reason::turnedBack
-                        : note == "acc"                   ? Reason::processorFull
-                        : note == "sub"                   ? Reason::lineBusy
-                                                          : Reason::none;
+  const BlockingReason reason = note == "atb"                     ? BlockingReason::noCircuit
+                                : note == "rtb" || note == "racc" ? BlockingReason::turnedBack
+                                : note == "acc"                   ? BlockingReason::processorFull
+                                : note == "sub"                   ? BlockingReason::lineBusy
+                                                                  : BlockingReason::none;
   const double waited = readNumber(message.field("waited").value_or("0")).value_or(0);
-  const Span toldWait = reason == Reason::processorFull ? Span::ms(std::clamp(waited, 0.0, 60000.0)) : Span::none();
-  const Ending ending = cause == 34                  ? Ending::full
-                        : cause == 17 || cause == 47 ? Ending::fault
-                        : cause == 102               ? Ending::moot
-                                                     : Ending::reset;
+  const Span toldWait =
+      reason == BlockingReason::processorFull ? Span::ms(std::clamp(waited, 0.0, 60000.0)) : Span::none();
+  const InviteOutcome ending = cause == 34                  ? InviteOutcome::overloaded
+                               : cause == 17 || cause == 47 ? InviteOutcome::failed
+                               : cause == 102               ? InviteOutcome::notSent
+                                                            : InviteOutcome::reset;
   ended(call, ending, reason, note == "racc", toldWait);
 }
 
 /// An INVITE that is out has ended without an answer; the final answer is the module's to give.
-void Softswitch::ended(Call& call, Ending ending, Reason reason, bool farProcessor, Span toldWait) {
+void Softswitch::ended(Call& call, InviteOutcome ending, BlockingReason reason, bool farProcessor, Span toldWait) {
   std::erase(ringing_, &call);
   call.trunk = nullptr;
   call.state = Call::State::open;
   events_.push_back([&call, at = call.peer, ending, reason, farProcessor, toldWait](Controller& to) {
-    to.ended(call, *at, ending, reason, farProcessor, toldWait, false);
+    to.inviteEnded(call, *at, ending, reason, farProcessor, toldWait, false);
   });
 }
 
 /// A call that stood is over.
-void Softswitch::over(Call& call, Ending ending, int cause) {
-  if (ending != Ending::ok) ++counts_.cut;
+void Softswitch::over(Call& call, InviteOutcome ending, int cause) {
+  if (ending != InviteOutcome::released) ++counts_.cut;
   tellCaller(call, cause);
   std::erase(call.peer->standing, &call);
   if (call.ofModule) {
     events_.push_back([&call, at = call.peer, ending](Controller& to) {
-      to.ended(call, *at, ending, Reason::none, false, Span::none(), true);
+      to.inviteEnded(call, *at, ending, BlockingReason::none, false, Span::none(), true);
     });
   }
   call.state = Call::State::done;
@@ -294,7 +295,7 @@
 }
 
 /// A connection to an exchange is no more. What was written to it may have run, what was not has not.
-void Softswitch::lose(TrunkSide& side, Ending unsent) {
+void Softswitch::lose(TrunkSide& side, InviteOutcome unsent) {
   Peer& peer = *side.peer;
   const bool wasUp = side.up;
   side.up = false;
@@ -307,7 +308,7 @@
   }
   for (Call* call : ringing) {
     if (wasUp) release(peer, nullptr, call->id, kNormal);
-    ended(*call, wasUp ? Ending::reset : unsent);
+    ended(*call, wasUp ? InviteOutcome::reset : unsent);
   }
   --trunkCount_;
   peer.nextDial = now_ + peer.redial;
@@ -322,7 +323,7 @@
 void Softswitch::leave(Peer& peer) {
   cutStanding(peer, Instant::never());
   peer.owed.clear();
-  while (!peer.sides.empty()) lose(*peer.sides.back(), Ending::unreachable);
+  while (!peer.sides.empty()) lose(*peer.sides.back(), InviteOutcome::unreachable);
   peer.owed.clear();
   peer.address = {};
 }
@@ -332,12 +333,12 @@
   for (Call* call : standing) {
     if (call->stoodAt >= before) continue;
     release(peer, nullptr, call->id, kNormal);  // should it stand there all the same
-    over(*call, Ending::reset, kFailed);
+    over(*call, InviteOutcome::reset, kFailed);
   }
 }
 
 void Softswitch::keepSides() {
-  for (const auto& [id, listed] : roster_.all()) {
+  for (const auto& [id, listed] : registry_.all()) {
     auto& peer = static_cast<Peer&>(*listed);
     if (peer.own) continue;
     for (std::size_t i = peer.sides.size(); i-- > 0;) {
@@ -345,13 +346,13 @@
       if (!side.up) takeBack(side);
       if (!side.up && now_ - side.dialled > deployment_.connectWithin) {
         notUp(peer, false);
-        lose(side, Ending::unreachable);
+        lose(side, InviteOutcome::unreachable);
       } else if (side.doubtful && side.ringing.empty() && now_ - side.spokenTo > kDoubtful) {
-        lose(side, Ending::unreachable);
+        lose(side, InviteOutcome::unreachable);
         peer.nextDial = now_;
       } else if (side.up && side.ringing.empty() && peer.sides.size() > kSpareTrunks &&
                  now_ - side.heard > kIdleTrunk) {
-        lose(side, Ending::unreachable);
+        lose(side, InviteOutcome::unreachable);
       }
     }
     if (peer.refusedSince != Instant::never() && now_ - peer.refusedSince > kDeadAfter)
@@ -370,7 +371,7 @@
     if (peer.readiness == Readiness::gone && peer.standing.empty()) {
       peer.owed.clear();
       for (std::size_t i = peer.sides.size(); i-- > 0;) {
-        if (peer.sides[i]->ringing.empty()) lose(*peer.sides[i], Ending::unreachable);
+        if (peer.sides[i]->ringing.empty()) lose(*peer.sides[i], InviteOutcome::unreachable);
       }
     }
   }
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -36,13 +36,13 @@
   Instant silentAt = Instant::never();
 };
 
-Softswitch::Softswitch(Deployment deployment, Instant now, Dialler& dialler, const OpenController& open,
+Softswitch::Softswitch(Deployment deployment, Instant now, Dialler& dialler, const ControllerFactory& open,
                        std::function<void(std::string_view)> tell)
     : deployment_(std::move(deployment)),
       dialler_(&dialler),
       tell_(std::move(tell)),
       controller_(open(deployment_.data, deployment_.seed)),
-      roster_(deployment_.here, [] { return std::make_unique<Peer>(); }),
+      registry_(deployment_.here, [] { return std::make_unique<Peer>(); }),
       bulletin_(std::make_unique<Bulletin>()),
       chance_(static_cast<std::ranlux24_base::result_type>(deployment_.seed ^ (deployment_.seed >> 24))),
       now_(now) {
@@ -111,7 +111,7 @@
     if (stream.unsent() > kUnsent) closeCaller(from);
   } else if (!readable) {
     ++counts_.spoilt;
-    lose(static_cast<TrunkSide&>(side), Ending::reset);
+    lose(static_cast<TrunkSide&>(side), InviteOutcome::reset);
   }
 }
 
@@ -131,7 +131,7 @@
   auto& trunk = static_cast<TrunkSide&>(side);
   Peer& peer = *trunk.peer;
   if (how == StreamEnd::refused) notUp(peer, true);
-  lose(trunk, Ending::unreachable);
+  lose(trunk, InviteOutcome::unreachable);
 }
 
 // ---- The module's decisions -----------------------------------------------------------------------------------------
@@ -148,19 +148,19 @@
   finished_.push_back(call.id);
 }
 
-void Softswitch::busy(const Session& session, Span retryAfter) {
+void Softswitch::rejectBusy(const Session& session, Span retryAfter) {
   ++counts_.refused;
   Fields fields;
   if (retryAfter > Span::none()) fields.emplace_back("wait", milliseconds(retryAfter));
   finish(const_cast<Call&>(static_cast<const Call&>(session)), Kind::release, fields, kRefused);
 }
 
-void Softswitch::surrender(const Session& session) {
+void Softswitch::failUncertain(const Session& session) {
   ++counts_.failed;
   finish(const_cast<Call&>(static_cast<const Call&>(session)), Kind::release, {}, kFailed);
 }
 
-void Softswitch::wakeIn(Span delay) { wakeAt_ = now_ + delay; }
+void Softswitch::scheduleWakeUp(Span delay) { wakeAt_ = now_ + delay; }
 
 void Softswitch::deliver(Controller& controller) {
   for (const auto& event : delivered_) event(controller);
@@ -190,33 +190,33 @@
     bulletin_->last = event.number;
     // Who has the address of another took its place: the one before runs no more, and nothing must go there for it.
     for (const Place& place : event.places) {
-      if (place.listing.readiness == Readiness::gone) continue;
-      for (const auto& [id, listed] : roster_.all()) {
+      if (place.entry.readiness == Readiness::gone) continue;
+      for (const auto& [id, listed] : registry_.all()) {
         auto& before = static_cast<Peer&>(*listed);
-        if (id != place.listing.id && before.address == place.address) leave(before);
+        if (id != place.entry.id && before.address == place.address) leave(before);
       }
     }
-    std::vector<wire::Listing> lines;
+    std::vector<wire::ListEntry> lines;
     for (const Place& place : event.places) {
-      lines.push_back(place.listing);
+      lines.push_back(place.entry);
       // One that has gone is where it was, or nowhere if another took its place: it must not be looked for there again.
-      if (place.listing.readiness == Readiness::gone && roster_.known(place.listing.id) != nullptr) continue;
-      auto& peer = static_cast<Peer&>(roster_.exchange(place.listing.id));
-      const bool anew = place.listing.started > peer.started || !(peer.address == place.address);
+      if (place.entry.readiness == Readiness::gone && registry_.known(place.entry.id) != nullptr) continue;
+      auto& peer = static_cast<Peer&>(registry_.exchange(place.entry.id));
+      const bool anew = place.entry.started > peer.started || !(peer.address == place.address);
       peer.address = place.address;
       if (anew) {
         peer.anewAt = now_;
         peer.nextDial = Instant::longAgo();
         peer.redial = kRedialFirst;
         // Its processor is another now; what stood on the one before is over.
-        if (place.listing.started > Instant::longAgo()) cutStanding(peer, place.listing.started);
+        if (place.entry.started > Instant::longAgo()) cutStanding(peer, place.entry.started);
       }
     }
     events_.push_back([this, lines, whole = event.whole](Controller& to) {
-      roster_.list(to, lines, whole);
+      registry_.list(to, lines, whole);
       // No group leads to the own exchange, which nothing else would tell: no connection goes there.
-      for (const auto& [id, listed] : roster_.all()) {
-        if (listed->own && listed->circuits < 0) to.circuits(*listed, 0, 0);
+      for (const auto& [id, listed] : registry_.all()) {
+        if (listed->own && listed->circuits < 0) to.circuitsChanged(*listed, 0, 0);
       }
     });
   }
@@ -273,7 +273,7 @@
 
 // ---- What is due ----------------------------------------------------------------------------------------------------
 
-void Softswitch::turn(Instant now) {
+void Softswitch::process(Instant now) {
   now_ = now;
   const auto ringing = ringing_;
   for (Call* call : ringing) {
@@ -287,7 +287,7 @@
         side.spokenTo = now;
       }
     }
-    ended(*call, side.up ? Ending::timedOut : Ending::unreachable);
+    ended(*call, side.up ? InviteOutcome::timedOut : InviteOutcome::unreachable);
   }
   if (!parted_ && now - keptAt_ >= kKeeping) {
     keptAt_ = now;
@@ -299,7 +299,7 @@
   dead_.clear();
 }
 
-Instant Softswitch::nextTurn() const {
+Instant Softswitch::nextDeadline() const {
   Instant next = parted_ ? wakeAt_ : std::min(wakeAt_, keptAt_ + kKeeping);
   for (const Call* call : ringing_) next = std::min(next, call->giveUp);
   return next;
@@ -322,10 +322,10 @@
   now_ = now;
   parted_ = true;
   while (!callers_.empty()) closeCaller(*callers_.back());
-  for (const auto& [id, listed] : roster_.all()) {
+  for (const auto& [id, listed] : registry_.all()) {
     auto& peer = static_cast<Peer&>(*listed);
     for (const auto& side : peer.sides) side->told.clear();  // still to go out
-    while (!peer.sides.empty()) lose(*peer.sides.back(), Ending::unreachable);
+    while (!peer.sides.empty()) lose(*peer.sides.back(), InviteOutcome::unreachable);
   }
   if (bulletin_->stream != nullptr) std::exchange(bulletin_->stream, nullptr)->cut();
 }
@@ -341,8 +341,8 @@
                     " not-up=" + std::to_string(counts_.notUp) + " over-bound=" + std::to_string(counts_.overBound) +
                     " taken-back=" + std::to_string(counts_.takenBack) + " asked=" + std::to_string(counts_.asked) +
                     " last-event=" + std::to_string(bulletin_->last) +
-                    " listed=" + std::to_string(roster_.all().size());
-  for (const auto& [id, listed] : roster_.all()) {
+                    " listed=" + std::to_string(registry_.all().size());
+  for (const auto& [id, listed] : registry_.all()) {
     const auto& peer = static_cast<const Peer&>(*listed);
     if (peer.readiness == Readiness::gone && peer.sides.empty()) continue;
     const auto figure = [](bool told, double value) {
@@ -356,10 +356,10 @@
                   : peer.readiness == Readiness::ready ? "ready"
                                                        : "leaving");
     out += who;
-    const bool told = peer.circuits >= 0, room = peer.canTake.size() > 0;
+    const bool told = peer.circuits >= 0, room = peer.reportedCapacity.size() > 0;
     out += " free=" + figure(told, peer.freeCircuits) + " size=" + figure(told, peer.circuits) +
-           " takes=" + figure(room, room ? peer.canTake.last().value : 0) +
-           " sides=" + std::to_string(peer.sides.size()) + " ringing=" + std::to_string(peer.ringing.size()) +
+           " takes=" + figure(room, room ? peer.reportedCapacity.last().value : 0) +
+           " sides=" + std::to_string(peer.sides.size()) + " ringing=" + std::to_string(peer.pendingInvites.size()) +
            " standing=" + std::to_string(peer.standing.size());
   }
   return out;
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -23,7 +23,7 @@
 struct CallerSide;
 struct TrunkSide;
 
-using OpenController = std::function<std::unique_ptr<Controller>(const OfficeData&, std::uint64_t seed)>;
+using ControllerFactory = std::function<std::unique_ptr<Controller>(const OfficeConfig&, std::uint64_t seed)>;
 
 /// What passed since the start.
 struct Counts {
@@ -39,10 +39,10 @@
 
 /// One softswitch on the platform's protocol: connections, set-ups and standing calls between messages and the
 /// module. Free of I/O and clock. All routes, waits, repeats and judgements of health are the module's.
-class Softswitch final : public Party, private Arrivals, private Writer {
+class Softswitch final : public StreamHandler, private RoundEvents, private DecisionSink {
  public:
   /// `dialler` must outlive it. `tell` hears of what an operator should know, in one line each.
-  Softswitch(Deployment deployment, Instant now, Dialler& dialler, const OpenController& open,
+  Softswitch(Deployment deployment, Instant now, Dialler& dialler, const ControllerFactory& open,
              std::function<void(std::string_view)> tell);
   ~Softswitch() override;
 
@@ -50,8 +50,8 @@
   void up(Instant now, Stream& stream) override;
   void read(Instant now, Stream& stream, std::string_view bytes) override;
   void down(Instant now, Stream& stream, StreamEnd how) override;
-  void turn(Instant now) override;
-  Instant nextTurn() const override;
+  void process(Instant now) override;
+  Instant nextDeadline() const override;
 
   /// The configuration was replaced: the bulletin may be elsewhere and more events known.
   void reconfigured(Instant now, const Deployment& deployment);
@@ -69,9 +69,9 @@
  private:
   void deliver(Controller& controller) override;
   void invite(const Session& session, const Exchange& to, Span giveUpAfter) override;
-  void busy(const Session& session, Span retryAfter) override;
-  void surrender(const Session& session) override;
-  void wakeIn(Span delay) override;
+  void rejectBusy(const Session& session, Span retryAfter) override;
+  void failUncertain(const Session& session) override;
+  void scheduleWakeUp(Span delay) override;
   void subscribe() override {}
 
   void fromCaller(CallerSide& side, std::string_view line);
@@ -88,10 +88,10 @@
   void feedback(Peer& peer, const Message& message);
   void answeredBy(TrunkSide& side, Call& call, const std::string& description);
   void releasedBy(TrunkSide& side, Call& call, const Message& message);
-  void over(Call& call, Ending ending, int cause);
-  void ended(Call& call, Ending ending, Reason reason = Reason::none, bool farProcessor = false,
+  void over(Call& call, InviteOutcome ending, int cause);
+  void ended(Call& call, InviteOutcome ending, BlockingReason reason = BlockingReason::none, bool farProcessor = false,
              Span toldWait = Span::none());
-  void lose(TrunkSide& side, Ending unsent);
+  void lose(TrunkSide& side, InviteOutcome unsent);
   void release(Peer& peer, TrunkSide* side, const std::string& id, int cause);
   TrunkSide* sideFor(Peer& peer);
   TrunkSide* dial(Peer& peer);
@@ -118,7 +118,7 @@
   Dialler* dialler_;
   std::function<void(std::string_view)> tell_;
   std::unique_ptr<Controller> controller_;
-  wire::Roster roster_;
+  wire::ExchangeRegistry registry_;
   std::unordered_map<std::string, std::unique_ptr<Call>> calls_;
   std::vector<Call*> ringing_;
   std::vector<std::string> finished_;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,6 +1,7 @@
-// All decisions of one office. The interface is include/thistlefold/controller.hpp: openOffice() makes the
-// decisions of one office from its OfficeData and a seed; call round() with the clock, all that came in and
-// a Writer. Arrivals calls back what was seen; whatever is decided is in the Writer when round() returns.
+// All decisions of one office. The interface is include/thistlefold/controller.hpp: makeController() makes the
+// decisions of one office from its OfficeConfig and a seed; call round() with the clock, all that came in and
+// a DecisionSink. RoundEvents calls back what was seen; whatever is decided is in the DecisionSink when round()
+// returns.
 //
 // Order of reading: round() collects, decide() takes each session in hand, place() and carry() are the
 // mechanism of docs/design.md, invite() and refuse() are the only ways to act on a session.
@@ -16,23 +17,23 @@
 
 class Rules final : public Controller {
  public:
-  Rules(const OfficeData& data, std::uint64_t seed)
+  Rules(const OfficeConfig& data, std::uint64_t seed)
       : data_(data),
         limits_(data.services.size()),
         chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24))) {}
 
-  void round(Instant now, Arrivals& arrivals, Writer& writer) override {
+  void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
-    writer_ = &writer;
+    sink_ = &sink;
     lateBy_ = beatAt_ == Instant::longAgo() || now_ < beatAt_ + kBeat ? Span::none() : now_ - beatAt_;
     if (data_.mustSubscribe && askAt_ <= now_) subscribe();
-    arrivals.deliver(*this);
+    events.deliver(*this);
     if (data_.mustSubscribe && askAt_ <= now_) subscribe();
     for (const auto& [session, retryAfter] : ended_) refuse(*session, retryAfter);
     ended_.clear();
     std::vector<Session*> inHand;
     std::erase_if(waiting_, [&](Session* session) {
-      if (session->due > now_) return false;
+      if (session->nextDecisionAt > now_) return false;
       inHand.push_back(session);
       return true;
     });
@@ -49,7 +50,7 @@
   // could hurt only if alarms alone came late. A beat well above a round and well below any post-dial target.
   static constexpr Span kBeat = Span::ms(100);
 
-  void listed(Exchange& exchange, Readiness readiness, Instant started) override {
+  void exchangeListed(Exchange& exchange, Readiness readiness, Instant started) override {
     const bool known = std::find(exchanges_.begin(), exchanges_.end(), &exchange) != exchanges_.end();
     if (!known) exchanges_.push_back(&exchange);
     // A machine that took the own one's place may be told of before that one is told gone.
@@ -59,63 +60,63 @@
     if (back && started <= exchange.started) started = now_;
     if (readiness == Readiness::ready && (exchange.readiness != readiness || started > exchange.started)) {
       // Another processor than the one that was judged.
-      exchange.answered.clear();
-      exchange.relayed.clear();
+      exchange.directOutcomes.clear();
+      exchange.tandemOutcomes.clear();
       exchange.postDialDelays.clear();
-      exchange.canTake.clear();
-      exchange.doubtedAt = Instant::longAgo();
-      exchange.heldUntil = Instant::longAgo();
+      exchange.reportedCapacity.clear();
+      exchange.suspectedAt = Instant::longAgo();
+      exchange.blockedUntil = Instant::longAgo();
     }
     exchange.readiness = readiness;
     if (started > exchange.started) {
       exchange.started = started;
-      const bool ranBefore = offered_.size() > 0 && started - offered_[0].at >= data_.tipAfter;
-      exchange.usual = ranBefore ? usualUntil(started, exchange) : Usual();
+      const bool ranBefore = offered_.size() > 0 && started - offered_[0].at >= data_.overloadWindow;
+      exchange.usualDemand = ranBefore ? usualUntil(started, exchange) : UsualDemand();
     }
   }
 
   void listFailed() override {
     // A quarter of the time after which silence counts as knowledge leaves room for two more failures.
-    askAt_ = now_ + data_.askWithin * (0.25 * std::generate_canonical<double, 24>(chance_));
+    askAt_ = now_ + data_.listStaleAfter * (0.25 * std::generate_canonical<double, 24>(chance_));
   }
 
-  void circuits(Exchange& exchange, double free, double size) override {
+  void circuitsChanged(Exchange& exchange, double free, double size) override {
     exchange.freeCircuits = free;
     exchange.circuits = size;
   }
 
-  void reported(Exchange& exchange, double canTake) override { exchange.canTake.add(now_, canTake); }
+  void capacityReported(Exchange& exchange, double canTake) override { exchange.reportedCapacity.add(now_, canTake); }
 
   // Whatever is told twice, late, out of order or about something closed changes nothing that stands: a
   // session is taken once, an INVITE ends once, and what is not out can't be answered. Guards against
   // datagrams that come again and far ends that mix up their calls: each could have left a session here
   // twice, for two INVITEs or two answers, or freed while its INVITE was still looked up.
-  void incoming(Session& session) override {
-    if (session.taken || session.over) return;
-    session.taken = true;
-    session.dialled = session.transit ? now_ : firstDialled(session);
-    const bool isRedial = session.dialled < now_;
-    session.due = now_;
+  void sessionArrived(Session& session) override {
+    if (session.received || session.finished) return;
+    session.received = true;
+    session.firstDialledAt = session.transit ? now_ : firstDialled(session);
+    const bool isRedial = session.firstDialledAt < now_;
+    session.nextDecisionAt = now_;
     const Span limit = session.timerLimit - now_;
     if (!session.transit && !isRedial) {
       auto& limits = limits_[static_cast<std::size_t>(session.service - data_.services.data())];
       if (lateBy_ == Span::none()) limits.add(now_, limit);
       Span usual;
       for (std::size_t i = 0; i < limits.size(); ++i) usual = std::max(usual, limits[i].value);
-      session.dialled = now_ - std::clamp(usual - limit, Span::none(), lateBy_);
+      session.firstDialledAt = now_ - std::clamp(usual - limit, Span::none(), lateBy_);
     }
     waiting_.push_back(&session);
-    session.lot = std::generate_canonical<double, 24>(chance_);
+    session.admissionDraw = std::generate_canonical<double, 24>(chance_);
     if (session.transit) return;
     offered_.add(now_, {worth(session), inTime(session), !isRedial,
                         session.destination != nullptr ? session.destination->place : -1});
   }
 
-  void accepted(Session& session, Span postDialDelay) override {
-    Exchange* at = session.ringingAt;
-    if (at == nullptr || session.standing) return;
-    session.standing = true;
-    std::erase(at->ringing, &session);
+  void inviteAccepted(Session& session, Span postDialDelay) override {
+    Exchange* at = session.pendingAt;
+    if (at == nullptr || session.established) return;
+    session.established = true;
+    std::erase(at->pendingInvites, &session);
     leftOwnLine(session);
     if (twoLegs(session, *at)) at->farLegs[session.destination].carried = true;
     judge(session, *at, true);
@@ -125,39 +126,42 @@
     delays_.add(now_, postDialDelay);
   }
 
-  void ended(Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor, Span toldWait,
-             bool final) override {
-    if (session.ringingAt != &at) {
-      if (final) abandoned(session);
+  void inviteEnded(Session& session, Exchange& at, InviteOutcome ending, BlockingReason reason, bool farProcessor,
+                   Span toldWait, bool final) override {
+    if (session.pendingAt != &at) {
+      if (final) sessionAbandoned(session);
       return;
     }
-    std::erase(at.ringing, &session);
-    if (ending == Ending::full || ending == Ending::fault || ending == Ending::ok) leftOwnLine(session);
+    std::erase(at.pendingInvites, &session);
+    if (ending == InviteOutcome::overloaded || ending == InviteOutcome::failed || ending == InviteOutcome::released)
+      leftOwnLine(session);
     std::erase(ownLine_, &session);
-    session.ringingAt = nullptr;
-    const bool stood = session.standing;
-    session.standing = false;
+    session.pendingAt = nullptr;
+    const bool stood = session.established;
+    session.established = false;
     if (!stood) learn(session, at, ending, reason, farProcessor, toldWait);
-    if (ending == Ending::reset && !twoLegs(session, at)) at.doubtedAt = now_;
-    if (final || session.over) {
-      session.over = true;
+    if (ending == InviteOutcome::reset && !twoLegs(session, at)) at.suspectedAt = now_;
+    if (final || session.finished) {
+      session.finished = true;
       return;
     }
-    if (ending != Ending::full && ending != Ending::moot && ending != Ending::unreachable) {
-      session.mayHaveRun = true;
+    if (ending != InviteOutcome::overloaded && ending != InviteOutcome::notSent &&
+        ending != InviteOutcome::unreachable) {
+      session.mayHaveExecuted = true;
     }
     if (session.transit) return refuseLater(session, Span::none());
-    const bool mayBeHeld = ending == Ending::timedOut || ending == Ending::reset || ending == Ending::cancelled;
-    session.due = mayBeHeld ? now_ + data_.clearWait : now_;
-    if (session.mayHaveRun && !session.service->repeatable) return refuseLater(session, comeBack());
-    const Instant target = session.dialled + session.service->postDialTarget;
-    if (session.due >= std::min(target, session.timerLimit)) return refuseLater(session, comeBack());
-    if (reason == Reason::lineBusy) return refuseLater(session, comeBack());
+    const bool mayBeHeld =
+        ending == InviteOutcome::timedOut || ending == InviteOutcome::reset || ending == InviteOutcome::cancelled;
+    session.nextDecisionAt = mayBeHeld ? now_ + data_.releaseTime : now_;
+    if (session.mayHaveExecuted && !session.service->repeatable) return refuseLater(session, comeBack());
+    const Instant target = session.firstDialledAt + session.service->postDialTarget;
+    if (session.nextDecisionAt >= std::min(target, session.timerLimit)) return refuseLater(session, comeBack());
+    if (reason == BlockingReason::lineBusy) return refuseLater(session, comeBack());
     waiting_.push_back(&session);
   }
 
-  void abandoned(Session& session) override {
-    session.over = true;
+  void sessionAbandoned(Session& session) override {
+    session.finished = true;
     std::erase(waiting_, &session);
   }
 
@@ -165,7 +169,7 @@
   // ---- The ordinary path -------------------------------------------------------------------------------
 
   void decide(Session& session) {
-    if (session.over) return;
+    if (session.finished) return;
     if (session.destination == nullptr || now_ >= session.timerLimit) return refuse(session, comeBack());
     mayWait_ = mayWait(session);
     everywhere_ = delayEverywhere();
@@ -266,25 +270,25 @@
 
   // The only place that sends. Rules 2 to 5 are checked here whatever led to it.
   bool invite(Session& session, Exchange& to) {
-    if (session.over || session.ringingAt != nullptr || session.invites >= data_.maxInvites) return false;
-    if (now_ < session.due || now_ >= session.timerLimit) return false;
+    if (session.finished || session.pendingAt != nullptr || session.invites >= data_.maxInvites) return false;
+    if (now_ < session.nextDecisionAt || now_ >= session.timerLimit) return false;
     if (to.readiness != Readiness::ready || to.own) return false;
     if (session.transit && &to != session.destination) return false;
     if (!withinColdPart(session, to)) return false;
     if (twoLegs(session, to) && !withinColdPart(session, *session.destination)) return false;
     if (own_ != nullptr && !session.transit && !withinColdPart(session, *own_)) return false;
-    to.sent.add(now_, now_);
-    if (&to != session.destination && !data_.pools) session.destination->sent.add(now_, now_);
-    if (own_ != nullptr && !session.transit) own_->sent.add(now_, now_);
+    to.inviteTimes.add(now_, now_);
+    if (&to != session.destination && !data_.pools) session.destination->inviteTimes.add(now_, now_);
+    if (own_ != nullptr && !session.transit) own_->inviteTimes.add(now_, now_);
     ++session.invites;
-    session.ringingAt = &to;
+    session.pendingAt = &to;
     session.sentAt = now_;
     session.tried.push_back(&to);
-    to.ringing.push_back(&session);
+    to.pendingInvites.push_back(&session);
     ownLine_.push_back(&session);
     to.freeCircuits -= session.width;
-    if (condemned(to.answered) || condemned(to.relayed)) to.lastTrial = now_;
-    writer_->invite(session, to, patience(session));
+    if (condemned(to.directOutcomes) || condemned(to.tandemOutcomes)) to.lastProbe = now_;
+    sink_->invite(session, to, patience(session));
     return true;
   }
 
@@ -294,21 +298,21 @@
 
   // The only place that gives a final answer; it is given at once.
   void refuse(Session& session, Span retryAfter) {
-    if (session.over) return;
-    session.over = true;
+    if (session.finished) return;
+    session.finished = true;
     if (!session.transit) {
       if (refused_.size() == kNumbers) refused_.erase(refused_.begin());
-      refused_.push_back({session.dialledNumber, session.service, session.dialled});
+      refused_.push_back({session.dialledNumber, session.service, session.firstDialledAt});
     }
-    if (session.mayHaveRun && !session.service->repeatable) return writer_->surrender(session);
-    writer_->busy(session, data_.takesRetryAfter ? std::min(retryAfter, data_.longestRetryAfter) : Span::none());
+    if (session.mayHaveExecuted && !session.service->repeatable) return sink_->failUncertain(session);
+    sink_->rejectBusy(session, data_.honoursRetryAfter ? std::min(retryAfter, data_.longestRetryAfter) : Span::none());
   }
 
   // A caller that met busy circuits or a pressed processor can still be served in time if it is back before
   // its target is up. Six tenths was the best of a quarter, four and six tenths over all deployments; to say
   // so only once lost.
   Span comeBackSoon(const Session& session) const {
-    const Span left = session.dialled + session.service->postDialTarget - now_;
+    const Span left = session.firstDialledAt + session.service->postDialTarget - now_;
     return left > Span::none() ? left * 0.6 : data_.longestRetryAfter;
   }
 
@@ -337,7 +341,7 @@
   Span comeBack() const { return data_.longestRetryAfter; }
 
   Instant targetOf(const Session& session) const {
-    const Instant target = session.dialled + session.service->postDialTarget;
+    const Instant target = session.firstDialledAt + session.service->postDialTarget;
     return now_ < target ? std::min(target, session.timerLimit) : session.timerLimit;
   }
 
@@ -365,27 +369,28 @@
 
   // ---- Health ------------------------------------------------------------------------------------------
 
-  void learn(const Session& session, Exchange& at, Ending ending, Reason reason, bool farProcessor, Span toldWait) {
+  void learn(const Session& session, Exchange& at, InviteOutcome ending, BlockingReason reason, bool farProcessor,
+             Span toldWait) {
     switch (ending) {
-      case Ending::ok:
-      case Ending::fault:
+      case InviteOutcome::released:
+      case InviteOutcome::failed:
         judge(session, at, true);
-        if (reason == Reason::lineBusy) rememberBusy(session);
+        if (reason == BlockingReason::lineBusy) rememberBusy(session);
         break;
-      case Ending::full:
+      case InviteOutcome::overloaded:
         judge(session, at, true);
-        if (reason == Reason::turnedBack && !farProcessor) at.farLegs[session.destination].turnedBack = now_;
-        if (reason == Reason::turnedBack && farProcessor) hold(*session.destination, Span::none());
-        if (reason == Reason::processorFull) {
+        if (reason == BlockingReason::turnedBack && !farProcessor) at.farLegs[session.destination].turnedBack = now_;
+        if (reason == BlockingReason::turnedBack && farProcessor) hold(*session.destination, Span::none());
+        if (reason == BlockingReason::processorFull) {
           hold(at, toldWait);
           tooLate(std::max(toldWait, session.service->postDialTarget));
         }
         break;
-      case Ending::timedOut:
+      case InviteOutcome::timedOut:
         // Through a tandem it may have met an office that stands still.
         if (!twoLegs(session, at)) tooLate(now_ - session.sentAt);
         [[fallthrough]];
-      case Ending::unreachable:
+      case InviteOutcome::unreachable:
         judge(session, at, false);
         break;
       default:
@@ -404,7 +409,7 @@
 
   void hold(Exchange& at, Span toldWait) {
     // A processor that is full says how long; where it does not, one clear-wait lets its line move.
-    at.heldUntil = std::max(at.heldUntil, now_ + std::max(toldWait, data_.clearWait));
+    at.blockedUntil = std::max(at.blockedUntil, now_ + std::max(toldWait, data_.releaseTime));
   }
 
   // The processor of a destination and the office behind a tandem fail apart, so each is judged by its own
@@ -413,15 +418,15 @@
     if (!answered && (lateBy_ > Span::none() || session.sentAt < at.started)) return;
     if (!answered && answeredSince(at, session.sentAt)) return;
     const bool relay = twoLegs(session, at);
-    (relay ? at.relayed : at.answered).add(now_, answered);
-    if (!relay) at.doubtedAt = answered ? Instant::longAgo() : now_;
+    (relay ? at.tandemOutcomes : at.directOutcomes).add(now_, answered);
+    if (!relay) at.suspectedAt = answered ? Instant::longAgo() : now_;
   }
 
   // Who answers others in the meantime is slow, not silent: that is for the delays to tell. Guards against
   // condemning everyone after a rush that this office made itself.
   static bool answeredSince(const Exchange& at, Instant sent) {
-    for (std::size_t i = at.answered.size(); i-- > 0 && at.answered[i].at > sent;) {
-      if (at.answered[i].value) return true;
+    for (std::size_t i = at.directOutcomes.size(); i-- > 0 && at.directOutcomes[i].at > sent;) {
+      if (at.directOutcomes[i].value) return true;
     }
     return false;
   }
@@ -450,20 +455,20 @@
   // sessions that end there tell it long before delays or silence do to an office that seldom sends there.
   // Guards against slow, ageing and hung processors; could hurt where reports tell of load, not of ability.
   bool lessThanUsual(const Session& session, const Exchange& at) const {
-    if (at.canTake.size() == 0 || now_ - at.canTake.last().at > kFresh * 2) return false;
+    if (at.reportedCapacity.size() == 0 || now_ - at.reportedCapacity.last().at > kFresh * 2) return false;
     double usual = 0;
-    for (std::size_t i = 0; i < at.canTake.size(); ++i) usual = std::max(usual, at.canTake[i].value);
+    for (std::size_t i = 0; i < at.reportedCapacity.size(); ++i) usual = std::max(usual, at.reportedCapacity[i].value);
     // At seven tenths a slowdown of all shut too many two-leg routes.
-    return at.canTake.last().value < 0.5 * usual * session.lot;
+    return at.reportedCapacity.last().value < 0.5 * usual * session.admissionDraw;
   }
 
   bool sound(const Session& session, const Exchange& at) const {
-    if (at.readiness != Readiness::ready || now_ < at.heldUntil) return false;
+    if (at.readiness != Readiness::ready || now_ < at.blockedUntil) return false;
     // Whoever left a direct INVITE unanswered or cut a direct session is no tandem until a direct one is
     // answered: there are others, and its empty groups would draw two-leg sessions before the directory
     // tells. Believed no longer than a far leg's turn-back: where few dial it direct nobody would acquit it.
-    if (twoLegs(session, at) && now_ - at.doubtedAt < kFading) return false;
-    const bool sick = condemned(at.answered) || (twoLegs(session, at) && condemned(at.relayed));
+    if (twoLegs(session, at) && now_ - at.suspectedAt < kFading) return false;
+    const bool sick = condemned(at.directOutcomes) || (twoLegs(session, at) && condemned(at.tandemOutcomes));
     return !sick || trialDue(session, at);
   }
 
@@ -475,7 +480,7 @@
   Span mayWait(const Session& session) const {
     Span left = std::min(targetOf(session) - now_, session.service->postDialTarget);
     // A set-up that waits longer than this is repeated, and each repeat is work for who waits already.
-    if (data_.repeatAfter > Span::none()) left = std::min(left, data_.repeatAfter);
+    if (data_.retransmitAfter > Span::none()) left = std::min(left, data_.retransmitAfter);
     return left * patienceShare(session);
   }
 
@@ -484,12 +489,12 @@
   }
 
   bool trialDue(const Session& session, const Exchange& at) const {
-    return at.ringing.empty() && now_ - at.lastTrial >= session.service->postDialTarget;
+    return at.pendingInvites.empty() && now_ - at.lastProbe >= session.service->postDialTarget;
   }
 
   // ---- Processors --------------------------------------------------------------------------------------
 
-  bool inTime(const Session& session) const { return now_ < session.dialled + session.service->postDialTarget; }
+  bool inTime(const Session& session) const { return now_ < session.firstDialledAt + session.service->postDialTarget; }
 
   double worth(const Session& session) const {
     return session.service->value * (inTime(session) ? 1 : session.service->lateValue);
@@ -536,7 +541,7 @@
   Span mostEach() const {
     double room = 0;
     for (const Exchange* at : exchanges_) {
-      if (at->canTake.size() > 0) room = std::max(room, at->canTake.last().value);
+      if (at->reportedCapacity.size() > 0) room = std::max(room, at->reportedCapacity.last().value);
     }
     return room > 0 ? Span::ms(2 * 1000.0 / room) : Span::ms(1e9);
   }
@@ -547,7 +552,7 @@
     for (std::size_t i = 0; i < at.postDialDelays.size(); ++i) {
       passed = std::max(passed, at.postDialDelays[i].at - at.postDialDelays[i].value);
     }
-    for (const Session* session : at.ringing) {
+    for (const Session* session : at.pendingInvites) {
       if (session->sentAt >= passed) return std::max(delay, now_ - session->sentAt);
     }
     return delay;
@@ -573,29 +578,29 @@
 
   // ---- Cold starts -------------------------------------------------------------------------------------
 
-  bool cold(const Exchange& at) const { return now_ - at.started < data_.warmAfter; }
+  bool cold(const Exchange& at) const { return now_ - at.started < data_.warmUpTime; }
 
   // This office's part of what a cold processor can take, so that the parts of all offices come to no more than it can.
   // A warm one bears its usual load: what its own subscribers dial, and what all others dial to it. A cold one bears
-  // coldFrom of that at least, and fallMultiple times as much for one tip window. So each office may send it as much
-  // of the usual load as it has of it; the sum is within what the settings allow, however many offices and however
-  // uneven their traffic. What is dialled beyond the part is thinned out by lot: offices that know nothing of each
-  // other then keep to the sum on average, and the rest is chance. Sessions past their target are the first to go.
+  // coldCapacityShare of that at least, and overloadFactor times as much for one tip window. So each office may send it
+  // as much of the usual load as it has of it; the sum is within what the settings allow, however many offices and
+  // however uneven their traffic. What is dialled beyond the part is thinned out by lot: offices that know nothing of
+  // each other then keep to the sum on average, and the rest is chance. Sessions past their target are the first to go.
   // Never more than the part and what chance adds to it, for a rush that the average does not show yet: a floor of two
   // an office, as it was here, is in a fleet of thirty more than any cold processor can take. Guards against restarts
   // of many at once, mass returns, and fleets too large for a floor an office; hurts where a processor starts far above
-  // coldFrom, or where subscribers suddenly dial elsewhere. tests/cold_fleet.cpp counts the sum; shapes 1 and 2,
-  // windows 2 to 4, 0 to 1 roots for chance: these are the least strict of them that keep the sum in a threefold rush
-  // and in a threefold return.
+  // coldCapacityShare, or where subscribers suddenly dial elsewhere. tests/cold_fleet.cpp counts the sum; shapes 1 and
+  // 2, windows 2 to 4, 0 to 1 roots for chance: these are the least strict of them that keep the sum in a threefold
+  // rush and in a threefold return.
   bool withinColdPart(const Session& session, const Exchange& to) const {
     if (!cold(to)) return true;
-    const double part = data_.coldFrom * data_.fallMultiple * kSpare * usual(to).there;
+    const double part = data_.coldCapacityShare * data_.overloadFactor * kSpare * usual(to).toExchange;
     double sent = 0;
-    for (std::size_t i = 0; i < to.sent.size(); ++i) sent += now_ - to.sent[i].at <= data_.tipAfter;
-    if (sent > std::min(part + std::sqrt(part), to.sent.room() - 1.0)) return false;
+    for (std::size_t i = 0; i < to.inviteTimes.size(); ++i) sent += now_ - to.inviteTimes[i].at <= data_.overloadWindow;
+    if (sent > std::min(part + std::sqrt(part), to.inviteTimes.room() - 1.0)) return false;
     if (session.transit) return true;  // its own office has drawn the lot
     const double wanted = std::max(beyondChance(sent), dialledOfLate(to));
-    return wanted <= part || (inTime(session) && session.lot * wanted < part);
+    return wanted <= part || (inTime(session) && session.admissionDraw * wanted < part);
   }
 
   // Processors are planned to be busy for some three quarters of their time with the usual load: near nine tenths the
@@ -612,60 +617,62 @@
     double there = 0, thereLately = 0, lately = 0;
     for (std::size_t i = 0; i + 1 < offered_.size(); ++i) {
       const Span age = now_ - offered_[i].at;
-      const bool goesThere = to.own || offered_[i].value.place == to.place, late = age <= data_.tipAfter;
-      there += goesThere && age <= data_.tipAfter * kWindows;
+      const bool goesThere = to.own || offered_[i].value.place == to.place, late = age <= data_.overloadWindow;
+      there += goesThere && age <= data_.overloadWindow * kWindows;
       thereLately += goesThere && late;
       lately += late && offered_[i].value.inTime;
     }
     const auto [each, usuallyThere] = usual(to);
     if (usuallyThere <= 0) return 1;
-    const double known = std::min(kWindows, (now_ - offered_[0].at) / data_.tipAfter);
+    const double known = std::min(kWindows, (now_ - offered_[0].at) / data_.overloadWindow);
     const double slow = usuallyThere * (there + kShape) / (usuallyThere * known + kShape);
     return std::max({slow, beyondChance(thereLately), beyondChance(lately) * usuallyThere / each});
   }
 
   // What this office usually dials, and of it to that exchange. Where it dialled little, an even part of it goes there.
   // Redials are left out: they come the faster the less can be taken.
-  Usual usualUntil(Instant until, const Exchange& to) const {
+  UsualDemand usualUntil(Instant until, const Exchange& to) const {
     double first = 0, there = 0, others = 0;
     for (std::size_t i = 0; i < offered_.size() && offered_[i].at <= until; ++i) {
       first += offered_[i].value.first;
       there += offered_[i].value.first && offered_[i].value.place == to.place;
     }
     if (first == 0) return {0, 0};
-    const double each = first / std::max(1.0, (until - offered_[0].at) / data_.tipAfter);
+    const double each = first / std::max(1.0, (until - offered_[0].at) / data_.overloadWindow);
     if (to.own) return {each, each};
     for (const Exchange* exchange : exchanges_) others += exchange->readiness == Readiness::ready && !exchange->own;
     if (data_.pools) return {each, each / std::max(1.0, others)};
-    others = std::max({1.0, others, data_.offices - 1.0});
+    others = std::max({1.0, others, data_.fleetSize - 1.0});
     return {each, each * (there + 1) / (first + others)};
   }
 
   // Before that exchange started, as what comes then may be a rush that its start has made. Where the office had not
   // run for a tip window by then, all that it knows.
-  Usual usual(const Exchange& to) const { return to.usual.each < 0 ? usualUntil(now_, to) : to.usual; }
+  UsualDemand usual(const Exchange& to) const {
+    return to.usualDemand.perWindow < 0 ? usualUntil(now_, to) : to.usualDemand;
+  }
 
   // ---- Alarms and the directory ------------------------------------------------------------------------
 
   void wakeForTheNext() {
     beatAt_ = now_ + kBeat;
     Instant next = data_.mustSubscribe ? std::min(askAt_, beatAt_) : beatAt_;
-    for (const Session* session : waiting_) next = std::min(next, session->due);
+    for (const Session* session : waiting_) next = std::min(next, session->nextDecisionAt);
     if (wakeAt_ > now_ && wakeAt_ <= next) return;
     wakeAt_ = next;
-    writer_->wakeIn(std::max(next - now_, Span::ms(1)));
+    sink_->scheduleWakeUp(std::max(next - now_, Span::ms(1)));
   }
 
   void subscribe() {
-    writer_->subscribe();
+    sink_->subscribe();
     askAt_ = Instant::never();
   }
 
-  const OfficeData& data_;
+  const OfficeConfig& data_;
   std::vector<Samples<Span, 16>> limits_;  // by service: what callers' own timer limits lately were
   std::ranlux24_base chance_;
   Instant now_;
-  Writer* writer_ = nullptr;
+  DecisionSink* sink_ = nullptr;
   std::vector<Exchange*> exchanges_;  // in the order they were first listed
   Exchange* own_ = nullptr;
   std::vector<Session*> waiting_;
@@ -696,7 +703,7 @@
 
 }  // namespace
 
-std::unique_ptr<Controller> openOffice(const OfficeData& data, std::uint64_t seed) {
+std::unique_ptr<Controller> makeController(const OfficeConfig& data, std::uint64_t seed) {
   return std::make_unique<Rules>(data, seed);
 }
 
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -9,7 +9,7 @@
 namespace thistlefold::settings {
 namespace {
 
-constexpr Word kFleet[] = {
+constexpr Keyword kFleet[] = {
     {"service", "(service NAME ...)", "", "a service that callers dial; several"},
     {"rules", "(rules ...)", "-", "figures of the five rules"},
     {"exchange", "(exchange NAME ...)", "", "an exchange with its office; several"},
@@ -20,7 +20,7 @@
 };
 constexpr std::string_view kFleetMany[] = {"service", "exchange", "group", "budget"};
 
-constexpr Word kBudget[] = {
+constexpr Keyword kBudget[] = {
     {"class", "(class SERVICE ...)", "", "what a service has of the budget; several"},
     {"dividing", "equal or lent", "equal", "offices of the zone keep equal parts, or lend each other of theirs"},
     {"overrun", "stand or end", "stand",
@@ -30,12 +30,12 @@
 };
 constexpr std::string_view kBudgetMany[] = {"class"};
 
-constexpr Word kClass[] = {
+constexpr Keyword kClass[] = {
     {"guaranteed", "circuits", "0", "kept for this service"},
     {"most", "circuits", "-1", "never more than this; -1 for no bound"},
 };
 
-constexpr Word kService[] = {
+constexpr Keyword kService[] = {
     {"width", "a whole number of circuits", "1", "circuits that a session takes on each group"},
     {"value", "a number", "1", "value of a session that stands within the post-dial target"},
     {"late-value", "a share", "0.25", "share of the value of one that stands later"},
@@ -45,7 +45,7 @@
     {"repeatable", "yes or no", "yes", "an INVITE that may have run may be followed by another"},
 };
 
-constexpr Word kRules[] = {
+constexpr Keyword kRules[] = {
     {"most-invites", "a whole number", "6", "INVITEs for one session"},
     {"release", "milliseconds", "300", "rule 5: no INVITE again within this after a time-out, reset or cancel"},
     {"drain-grace", "milliseconds", "500", "rule 3: nothing new later than this after a drain was told"},
@@ -58,7 +58,7 @@
     {"ask", "yes or no", "no", "the directory tells only offices that asked"},
 };
 
-constexpr Word kExchange[] = {
+constexpr Keyword kExchange[] = {
     {"zone", "a word", "home", "its zone"},
     {"numbers", "digits", "", "called numbers that begin with these end here"},
     {"office", "ADDRESS:PORT", "127.0.0.1:0", "where its office listens"},
@@ -66,7 +66,7 @@
     {"capacity", "set-ups a second", "500", "what its processor can take when warm"},
 };
 
-constexpr Word kMesh[] = {
+constexpr Keyword kMesh[] = {
     {"zones", "words", "home", "zones, dealt out in turn"},
     {"circuits", "a whole number", "24", "mean size of a group"},
     {"spread", "a share", "0.4", "groups differ by this share of the mean, either way"},
@@ -75,7 +75,7 @@
     {"seed", "a whole number", "1", "what sizes and missing groups are drawn from"},
 };
 
-constexpr Word kOffice[] = {
+constexpr Keyword kOffice[] = {
     {"fleet", "a file", "", "the fleet file, from this file's folder"},
     {"listen", "ADDRESS:PORT", "as the fleet says", "port 0 takes a free one"},
     {"seed", "a whole number", "1", "start of the module's chance"},
@@ -89,7 +89,7 @@
     {"log", "(log ...)", "-", "logging"},
 };
 
-constexpr Word kLog[] = {
+constexpr Keyword kLog[] = {
     {"level", "debug, info, warn or error", "info", "debug has a line a session"},
     {"format", "logfmt or json", "logfmt", "form of a line"},
     {"to", "a file or -", "-", "- is standard error"},
@@ -97,13 +97,13 @@
 
 std::string nameOf(const Form& form, const char* kind) {
   if (form.items.size() < 2 || form.items[1].isList()) {
-    form.wrong(std::string("the name of the ") + kind + " is expected first");
+    form.fail(std::string("the name of the ") + kind + " is expected first");
   }
   const std::string& name = form.items[1].value;
   const bool good = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
   });
-  if (!good) form.items[1].wrong("a name of 1 to 40 letters, digits, - and _ is expected, not '" + name + "'");
+  if (!good) form.items[1].fail("a name of 1 to 40 letters, digits, - and _ is expected, not '" + name + "'");
   return name;
 }
 
@@ -113,8 +113,8 @@
 
 void readServices(const Fields& fields, Fleet& fleet) {
   for (const Form* one : fields.all("service")) {
-    Offer offer{nameOf(*one, "service"), 1};
-    if (fleet.service(offer.name) >= 0) one->wrong("service '" + offer.name + "' stands twice");
+    OfferedService offer{nameOf(*one, "service"), 1};
+    if (fleet.service(offer.name) >= 0) one->fail("service '" + offer.name + "' stands twice");
     const Fields f(*one, 2, kService);
     Service service;
     offer.width = f.whole("width", 1, 1000);
@@ -124,10 +124,10 @@
     service.timerLimit = span(f, "timer-limit", 1);
     service.meanHold = span(f, "mean-hold", 1);
     service.repeatable = f.yes("repeatable");
-    fleet.offers.push_back(offer);
+    fleet.offeredServices.push_back(offer);
     fleet.data.services.push_back(service);
   }
-  if (fleet.offers.empty()) fields.list().wrong("at least one (service NAME ...) is expected");
+  if (fleet.offeredServices.empty()) fields.list().fail("at least one (service NAME ...) is expected");
 }
 
 void readRules(const Fields& fields, Fleet& fleet) {
@@ -135,40 +135,40 @@
   const Form* given = fields.find("rules");
   const Fields f(given == nullptr ? none : *given, 1, kRules);
   fleet.data.maxInvites = f.whole("most-invites", 1, 100);
-  fleet.data.clearWait = span(f, "release");
+  fleet.data.releaseTime = span(f, "release");
   fleet.drainGrace = span(f, "drain-grace");
-  fleet.data.coldFrom = f.number("cold-from", 0, 1);
-  fleet.data.warmAfter = span(f, "warm-after");
-  fleet.data.fallMultiple = f.number("fall-multiple", 0, 1000);
-  fleet.data.tipAfter = span(f, "tip-after");
-  fleet.data.takesRetryAfter = f.yes("retry-after");
+  fleet.data.coldCapacityShare = f.number("cold-from", 0, 1);
+  fleet.data.warmUpTime = span(f, "warm-after");
+  fleet.data.overloadFactor = f.number("fall-multiple", 0, 1000);
+  fleet.data.overloadWindow = span(f, "tip-after");
+  fleet.data.honoursRetryAfter = f.yes("retry-after");
   fleet.data.longestRetryAfter = span(f, "longest-retry-after");
   fleet.data.mustSubscribe = f.yes("ask");
-  fleet.data.askWithin = Span::ms(5000);
+  fleet.data.listStaleAfter = Span::ms(5000);
 }
 
 void readExchanges(const Fields& fields, Fleet& fleet, bool placed) {
   for (const Form* one : fields.all("exchange")) {
     Place place;
     place.name = nameOf(*one, "exchange");
-    if (fleet.place(place.name) >= 0) one->wrong("exchange '" + place.name + "' stands twice");
+    if (fleet.place(place.name) >= 0) one->fail("exchange '" + place.name + "' stands twice");
     const Fields f(*one, 2, kExchange);
     place.zone = f.text("zone");
     place.numbers = f.text("numbers");
     const bool digits = std::all_of(place.numbers.begin(), place.numbers.end(),
                                     [](char c) { return (c >= '0' && c <= '9') || c == '*' || c == '#'; });
-    if (!digits || place.numbers.size() > 16) f.find("numbers")->items[1].wrong("1 to 16 digits are expected");
+    if (!digits || place.numbers.size() > 16) f.find("numbers")->items[1].fail("1 to 16 digits are expected");
     for (const Place& other : fleet.places) {
       if (other.numbers == place.numbers) {
-        f.find("numbers")->items[1].wrong("numbers " + place.numbers + " belong to exchange '" + other.name + "'");
+        f.find("numbers")->items[1].fail("numbers " + place.numbers + " belong to exchange '" + other.name + "'");
       }
     }
     for (auto [word, address] : {std::pair("office", &place.office), std::pair("processor", &place.processor)}) {
       if (const Form* given = f.find(word)) {
-        if (given->items.size() != 2) given->wrong("an ADDRESS:PORT is expected");
+        if (given->items.size() != 2) given->fail("an ADDRESS:PORT is expected");
         *address = asAddress(given->items[1]);
       } else if (placed) {
-        one->wrong(std::string("(") + word + " ADDRESS:PORT) is missing");
+        one->fail(std::string("(") + word + " ADDRESS:PORT) is missing");
       }
     }
     place.setUpsASecond = f.number("capacity", 0.1, 1e6);
@@ -178,7 +178,7 @@
 
 void readGroups(const Fields& fields, Fleet& fleet) {
   for (const Form* one : fields.all("group")) {
-    if (one->items.size() != 4) one->wrong("(group NAME NAME CIRCUITS) is expected");
+    if (one->items.size() != 4) one->fail("(group NAME NAME CIRCUITS) is expected");
     Group group;
     int* const ends[] = {&group.a, &group.b};
     for (std::size_t i = 0; i < 2; ++i) {
@@ -188,20 +188,20 @@
       for (const Place& place : fleet.places) known.push_back(place.name);
       unknownWord(one->items[i + 1], one->items[i + 1].value, known);
     }
-    if (group.a == group.b) one->wrong("two different exchanges are expected");
+    if (group.a == group.b) one->fail("two different exchanges are expected");
     if (group.a > group.b) std::swap(group.a, group.b);
     for (const Group& other : fleet.groups) {
-      if (other.a == group.a && other.b == group.b) one->wrong("this group stands twice");
+      if (other.a == group.a && other.b == group.b) one->fail("this group stands twice");
     }
     const double circuits = asNumber(one->items[3], 0, 100000);
-    if (circuits != static_cast<int>(circuits)) one->items[3].wrong("a whole number of circuits is expected");
+    if (circuits != static_cast<int>(circuits)) one->items[3].fail("a whole number of circuits is expected");
     group.circuits = static_cast<int>(circuits);
     fleet.groups.push_back(group);
   }
 }
 
 void readMesh(const Form& form, Fleet& fleet) {
-  if (form.items.size() < 2) form.wrong("(mesh COUNT ...) is expected");
+  if (form.items.size() < 2) form.fail("(mesh COUNT ...) is expected");
   const int count = static_cast<int>(asNumber(form.items[1], 2, 900));
   constexpr std::string_view many[] = {"zones"};
   const Fields f(form, 2, kMesh, many);
@@ -209,7 +209,7 @@
   if (const Form* given = f.find("zones")) {
     zones.clear();
     for (std::size_t i = 1; i < given->items.size(); ++i) zones.push_back(asText(given->items[i]));
-    if (zones.empty()) given->wrong("at least one zone is expected");
+    if (zones.empty()) given->fail("at least one zone is expected");
   }
   const double circuits = f.number("circuits", 1, 100000);
   const double spread = f.number("spread", 0, 1);
@@ -220,7 +220,7 @@
   for (int i = 0; i < count; ++i) {
     Place place;
     place.name = "e" + std::to_string(i + 1);
-    if (fleet.place(place.name) >= 0) form.wrong("exchange '" + place.name + "' stands twice");
+    if (fleet.place(place.name) >= 0) form.fail("exchange '" + place.name + "' stands twice");
     place.zone = zones[static_cast<std::size_t>(i) % zones.size()];
     place.numbers = std::to_string(1000 + before + i);
     place.setUpsASecond = f.number("capacity", 0.1, 1e6);
@@ -246,32 +246,32 @@
   const std::vector<std::string> zones = fleet.zones();
   const std::vector<std::string_view> zoneWords(zones.begin(), zones.end());
   for (const Form* one : fields.all("budget")) {
-    if (one->items.size() < 4) one->wrong("(budget ZONE ZONE CIRCUITS ...) is expected");
+    if (one->items.size() < 4) one->fail("(budget ZONE ZONE CIRCUITS ...) is expected");
     zones::Budget budget;
     int* const ends[] = {&budget.from, &budget.to};
     for (std::size_t i = 0; i < 2; ++i) {
       *ends[i] = fleet.zone(asText(one->items[i + 1]));
       if (*ends[i] < 0) unknownWord(one->items[i + 1], one->items[i + 1].value, zoneWords);
     }
-    if (budget.from == budget.to) one->wrong("two different zones are expected");
+    if (budget.from == budget.to) one->fail("two different zones are expected");
     for (const zones::Budget& other : fleet.budgets) {
-      if (other.from == budget.from && other.to == budget.to) one->wrong("this budget stands twice");
+      if (other.from == budget.from && other.to == budget.to) one->fail("this budget stands twice");
     }
     const auto whole = [](const Form& form, double least) {
       const double value = asNumber(form, least, 1e6);
-      if (value != static_cast<int>(value)) form.wrong("a whole number of circuits is expected");
+      if (value != static_cast<int>(value)) form.fail("a whole number of circuits is expected");
       return static_cast<int>(value);
     };
     budget.circuits = whole(one->items[3], 0);
-    budget.classes.resize(fleet.offers.size());
+    budget.classes.resize(fleet.offeredServices.size());
     const Fields f(*one, 4, kBudget, kBudgetMany);
     int guaranteed = 0;
     for (const Form* form : f.all("class")) {
-      if (form->items.size() < 2) form->wrong("(class SERVICE ...) is expected");
+      if (form->items.size() < 2) form->fail("(class SERVICE ...) is expected");
       const int service = fleet.service(asText(form->items[1]));
       if (service < 0) {
         std::vector<std::string_view> known;
-        for (const Offer& offer : fleet.offers) known.push_back(offer.name);
+        for (const OfferedService& offer : fleet.offeredServices) known.push_back(offer.name);
         unknownWord(form->items[1], form->items[1].value, known);
       }
       const Fields c(*form, 2, kClass);
@@ -279,7 +279,7 @@
       share.guaranteed = c.whole("guaranteed", 0, 1000000);
       const int most = c.whole("most", -1, 1000000);
       if (most >= 0) share.most = most;
-      if (most >= 0 && most < share.guaranteed) form->wrong("guaranteed is more than most");
+      if (most >= 0 && most < share.guaranteed) form->fail("guaranteed is more than most");
       guaranteed += share.guaranteed;
     }
     budget.dividing = oneOf(f, "dividing", {"equal", "lent"}) == 1 ? zones::Dividing::lent : zones::Dividing::equal;
@@ -287,7 +287,7 @@
     const double circuitSeconds = f.number("circuit-seconds", -1, 1e12);
     if (circuitSeconds >= 0) budget.circuitSeconds = circuitSeconds;
     budget.period = Span::ms(f.number("period", 1000, 1e9));
-    if (guaranteed > budget.circuits) one->wrong("the guaranteed parts are more than the budget");
+    if (guaranteed > budget.circuits) one->fail("the guaranteed parts are more than the budget");
     fleet.budgets.push_back(std::move(budget));
   }
 }
@@ -296,29 +296,29 @@
 
 iax2::Address asAddress(const Form& form) {
   const auto address = iax2::parseAddress(asText(form));
-  if (!address) form.wrong("an ADDRESS:PORT such as 127.0.0.1:4569 is expected, not '" + form.value + "'");
+  if (!address) form.fail("an ADDRESS:PORT such as 127.0.0.1:4569 is expected, not '" + form.value + "'");
   return *address;
 }
 
 Fleet readFleet(const Form& form, bool placed) {
-  if (form.head() != "fleet") form.wrong("(fleet ...) is expected");
+  if (form.head() != "fleet") form.fail("(fleet ...) is expected");
   const Fields fields(form, 1, kFleet, kFleetMany);
   Fleet fleet;
   readServices(fields, fleet);
   readRules(fields, fleet);
   readExchanges(fields, fleet, placed);
   if (const Form* mesh = fields.find("mesh")) {
-    if (placed) mesh->wrong("a mesh is for days only: its exchanges have no addresses");
+    if (placed) mesh->fail("a mesh is for days only: its exchanges have no addresses");
     readMesh(*mesh, fleet);
   }
   readGroups(fields, fleet);
   readBudgets(fields, fleet);
-  if (fleet.places.size() < 2) form.wrong("two exchanges or more are expected");
+  if (fleet.places.size() < 2) form.fail("two exchanges or more are expected");
   if (const Form* directory = fields.find("directory")) {
-    if (directory->items.size() != 2) directory->wrong("(directory ADDRESS:PORT) is expected");
+    if (directory->items.size() != 2) directory->fail("(directory ADDRESS:PORT) is expected");
     fleet.directory = asAddress(directory->items[1]);
   } else if (placed) {
-    form.wrong("(directory ADDRESS:PORT) is missing");
+    form.fail("(directory ADDRESS:PORT) is missing");
   }
   return fleet;
 }
@@ -329,19 +329,20 @@
   std::ostringstream out;
   out.precision(15);
   out << "(fleet\n";
-  for (std::size_t i = 0; i < fleet.offers.size(); ++i) {
+  for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
     const Service& s = fleet.data.services[i];
-    out << "  (service " << fleet.offers[i].name << " (width " << fleet.offers[i].width << ") (value " << s.value
-        << ") (late-value " << s.lateValue << ") (post-dial-target " << s.postDialTarget.ms() << ")\n           "
+    out << "  (service " << fleet.offeredServices[i].name << " (width " << fleet.offeredServices[i].width << ") (value "
+        << s.value << ") (late-value " << s.lateValue << ") (post-dial-target " << s.postDialTarget.ms()
+        << ")\n           "
         << "(timer-limit " << s.timerLimit.ms() << ") (mean-hold " << s.meanHold.ms() << ") (repeatable "
         << (s.repeatable ? "yes" : "no") << "))\n";
   }
-  const OfficeData& d = fleet.data;
-  out << "  (rules (most-invites " << d.maxInvites << ") (release " << d.clearWait.ms() << ") (drain-grace "
-      << fleet.drainGrace.ms() << ") (cold-from " << d.coldFrom << ")\n         (warm-after " << d.warmAfter.ms()
-      << ") (fall-multiple " << d.fallMultiple << ") (tip-after " << d.tipAfter.ms() << ") (retry-after "
-      << (d.takesRetryAfter ? "yes" : "no") << ")\n         (longest-retry-after " << d.longestRetryAfter.ms()
-      << ") (ask " << (d.mustSubscribe ? "yes" : "no") << "))\n";
+  const OfficeConfig& d = fleet.data;
+  out << "  (rules (most-invites " << d.maxInvites << ") (release " << d.releaseTime.ms() << ") (drain-grace "
+      << fleet.drainGrace.ms() << ") (cold-from " << d.coldCapacityShare << ")\n         (warm-after "
+      << d.warmUpTime.ms() << ") (fall-multiple " << d.overloadFactor << ") (tip-after " << d.overloadWindow.ms()
+      << ") (retry-after " << (d.honoursRetryAfter ? "yes" : "no") << ")\n         (longest-retry-after "
+      << d.longestRetryAfter.ms() << ") (ask " << (d.mustSubscribe ? "yes" : "no") << "))\n";
   for (const Place& p : fleet.places) {
     out << "  (exchange " << p.name << " (zone \"" << p.zone << "\") (numbers \"" << p.numbers << "\") (office \""
         << text(p.office) << "\") (processor \"" << text(p.processor) << "\") (capacity " << p.setUpsASecond << "))\n";
@@ -355,7 +356,7 @@
     out << "  (budget \"" << zones[static_cast<std::size_t>(b.from)] << "\" \"" << zones[static_cast<std::size_t>(b.to)]
         << "\" " << b.circuits;
     for (std::size_t i = 0; i < b.classes.size(); ++i) {
-      out << " (class " << fleet.offers[i].name << " (guaranteed " << b.classes[i].guaranteed << ") (most "
+      out << " (class " << fleet.offeredServices[i].name << " (guaranteed " << b.classes[i].guaranteed << ") (most "
           << b.classes[i].most.value_or(-1) << "))";
     }
     out << " (dividing " << (b.dividing == zones::Dividing::lent ? "lent" : "equal") << ") (overrun "
@@ -382,7 +383,7 @@
   }
   file.listen = file.fleet.places[static_cast<std::size_t>(file.setting.place)].office;
   if (const Form* listen = f.find("listen")) {
-    if (listen->items.size() != 2) listen->wrong("an ADDRESS:PORT is expected");
+    if (listen->items.size() != 2) listen->fail("an ADDRESS:PORT is expected");
     file.listen = asAddress(listen->items[1]);
   }
   file.setting.seed = static_cast<std::uint64_t>(f.number("seed", 0, 9e15));
@@ -390,9 +391,9 @@
   file.setting.peerPoke = span(f, "poke", 10);
   file.setting.peerSilent = span(f, "silent", 100);
   file.setting.exchangePoke = span(f, "exchange-poke", 10);
-  file.setting.patience.firstRepeat = span(f, "first-repeat", 1);
-  file.setting.patience.repeats = f.whole("repeats", 0, 20);
-  file.setting.patience.ping = span(f, "ping", 100);
+  file.setting.timing.firstRepeat = span(f, "first-repeat", 1);
+  file.setting.timing.repeats = f.whole("repeats", 0, 20);
+  file.setting.timing.ping = span(f, "ping", 100);
   if (const Form* log = f.find("log")) {
     const Fields l(*log, 1, kLog);
     file.log.level = l.text("level");
@@ -409,9 +410,9 @@
   return file;
 }
 
-void explainWords(std::ostream& out, std::string_view title, std::span<const Word> words) {
+void explainWords(std::ostream& out, std::string_view title, std::span<const Keyword> words) {
   out << '(' << title << " ...)\n";
-  for (const Word& one : words) {
+  for (const Keyword& one : words) {
     const std::string given = one.byDefault.empty()  ? "must be given"
                               : one.byDefault == "-" ? "may be left out"
                                                      : "default " + std::string(one.byDefault);
--- a/src/settings/files.hpp
+++ b/src/settings/files.hpp
@@ -12,7 +12,7 @@
 namespace thistlefold::settings {
 
 /// Reads (fleet ...). Where `placed` is false, exchanges need no addresses: whoever starts them gives them out.
-/// Throws Wrong.
+/// Throws SettingsError.
 Fleet readFleet(const Form& form, bool placed = true);
 Fleet openFleet(const std::string& path);
 /// What openFleet reads back as the same fleet.
@@ -29,7 +29,7 @@
   std::string fleetPath;  // relative paths are taken from the file's own folder
   Fleet fleet;
   iax2::Address listen;
-  OfficeSetting setting;
+  OfficeOptions setting;
   LogSetting log;
 };
 OfficeFile openOfficeFile(const std::string& path);
@@ -37,7 +37,7 @@
 /// All words of fleet and office files with defaults and meaning.
 void explain(std::ostream& out);
 /// One vocabulary, as explain() prints it.
-void explainWords(std::ostream& out, std::string_view title, std::span<const Word> words);
+void explainWords(std::ostream& out, std::string_view title, std::span<const Keyword> words);
 
 iax2::Address asAddress(const Form& form);
 
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -17,7 +17,7 @@
 };
 
 [[noreturn]] void wrongAt(const std::string& name, Spot at, const std::string& what) {
-  throw Wrong(name + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what);
+  throw SettingsError(name + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what);
 }
 
 // The library parses but does not say where; this notes where each list and atom begins, in the order in which the
@@ -125,12 +125,12 @@
                                                                    : std::string_view();
 }
 
-void Form::wrong(const std::string& what) const { wrongAt(*file, {line, column}, what); }
+void Form::fail(const std::string& what) const { wrongAt(*file, {line, column}, what); }
 
 Document Document::open(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
-  if (!in || !(text << in.rdbuf())) throw Wrong(path + ": can't be read");
+  if (!in || !(text << in.rdbuf())) throw SettingsError(path + ": can't be read");
   return parse(path, text.str());
 }
 
@@ -139,22 +139,22 @@
   document.name_ = std::make_unique<std::string>(std::move(name));
   std::vector<Spot> spots;
   std::string clean = "(" + locate(*document.name_, text, spots) + "\n)";
-  if (spots.empty()) throw Wrong(*document.name_ + ": nothing in it");
+  if (spots.empty()) throw SettingsError(*document.name_ + ": nothing in it");
   sexp_t* tree = parse_sexp(clean.data(), clean.size());
-  if (tree == nullptr) throw Wrong(*document.name_ + ": not an S-expression");
+  if (tree == nullptr) throw SettingsError(*document.name_ + ": not an S-expression");
   Form all;
   std::size_t next = 0;
   convert(tree->list, all, spots, next, document.name_.get());
   destroy_sexp(tree);
-  if (next != spots.size()) throw Wrong(*document.name_ + ": not an S-expression");
+  if (next != spots.size()) throw SettingsError(*document.name_ + ": not an S-expression");
   document.forms_ = std::move(all.items);
   return document;
 }
 
 const Form& Document::only(std::string_view word) const {
   const Form& first = forms_.front();
-  if (first.head() != word) first.wrong("(" + std::string(word) + " ...) is expected");
-  if (forms_.size() > 1) forms_[1].wrong("nothing more is expected after (" + std::string(word) + " ...)");
+  if (first.head() != word) first.fail("(" + std::string(word) + " ...) is expected");
+  if (forms_.size() > 1) forms_[1].fail("nothing more is expected after (" + std::string(word) + " ...)");
   return first;
 }
 
@@ -168,8 +168,8 @@
       nearest = one;
     }
   }
-  form.wrong("unknown word '" + std::string(word) + "'" +
-             (nearest.empty() ? std::string() : "; the nearest known is '" + std::string(nearest) + "'"));
+  form.fail("unknown word '" + std::string(word) + "'" +
+            (nearest.empty() ? std::string() : "; the nearest known is '" + std::string(nearest) + "'"));
 }
 
 double asNumber(const Form& form, double least, double most) {
@@ -177,40 +177,40 @@
   const char* const end = form.value.data() + form.value.size();
   const auto [at, error] = std::from_chars(form.value.data(), end, value);
   if (form.kind != Form::Kind::word || error != std::errc() || at != end || !(value >= least && value <= most)) {
-    form.wrong("a number from " + plain(least) + " to " + plain(most) + " is expected" +
-               (form.isList() ? "" : ", not '" + form.value + "'"));
+    form.fail("a number from " + plain(least) + " to " + plain(most) + " is expected" +
+              (form.isList() ? "" : ", not '" + form.value + "'"));
   }
   return value;
 }
 
 std::string asText(const Form& form) {
-  if (form.isList() || form.value.empty()) form.wrong("a word or a text in quotes is expected");
+  if (form.isList() || form.value.empty()) form.fail("a word or a text in quotes is expected");
   return form.value;
 }
 
-Fields::Fields(const Form& list, std::size_t from, std::span<const Word> vocabulary,
+Fields::Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
                std::span<const std::string_view> many)
     : list_(&list), vocabulary_(vocabulary) {
   for (std::size_t i = from; i < list.items.size(); ++i) {
     const Form& field = list.items[i];
-    if (field.head().empty()) field.wrong("a list that begins with a word is expected");
+    if (field.head().empty()) field.fail("a list that begins with a word is expected");
     const std::string_view name = field.head();
     const bool known =
-        std::any_of(vocabulary.begin(), vocabulary.end(), [&](const Word& one) { return one.word == name; });
+        std::any_of(vocabulary.begin(), vocabulary.end(), [&](const Keyword& one) { return one.word == name; });
     if (!known) {
       std::vector<std::string_view> words;
-      for (const Word& one : vocabulary) words.push_back(one.word);
+      for (const Keyword& one : vocabulary) words.push_back(one.word);
       unknownWord(field.items[0], name, words);
     }
     if (find(name) != nullptr && std::find(many.begin(), many.end(), name) == many.end()) {
-      field.wrong("'" + std::string(name) + "' stands twice; once is expected");
+      field.fail("'" + std::string(name) + "' stands twice; once is expected");
     }
     fields_.push_back(&field);
   }
-  for (const Word& one : vocabulary) {
+  for (const Keyword& one : vocabulary) {
     if (one.byDefault.empty() && find(one.word) == nullptr &&
         std::find(many.begin(), many.end(), one.word) == many.end()) {
-      list.wrong("(" + std::string(one.word) + " ...) is missing: " + std::string(one.expects) + " is expected");
+      list.fail("(" + std::string(one.word) + " ...) is missing: " + std::string(one.expects) + " is expected");
     }
   }
 }
@@ -227,15 +227,15 @@
   return found;
 }
 
-const Word& Fields::word(std::string_view word) const {
-  return *std::find_if(vocabulary_.begin(), vocabulary_.end(), [&](const Word& one) { return one.word == word; });
+const Keyword& Fields::word(std::string_view word) const {
+  return *std::find_if(vocabulary_.begin(), vocabulary_.end(), [&](const Keyword& one) { return one.word == word; });
 }
 
 const Form* Fields::single(std::string_view name) const {
   const Form* field = find(name);
   if (field == nullptr) return nullptr;
   if (field->items.size() != 2) {
-    field->wrong("(" + std::string(name) + " ...) takes one value: " + std::string(word(name).expects));
+    field->fail("(" + std::string(name) + " ...) takes one value: " + std::string(word(name).expects));
   }
   return &field->items[1];
 }
@@ -248,14 +248,14 @@
 
 int Fields::whole(std::string_view name, int least, int most) const {
   const double value = number(name, least, most);
-  if (value != static_cast<int>(value)) single(name)->wrong("a whole number is expected");
+  if (value != static_cast<int>(value)) single(name)->fail("a whole number is expected");
   return static_cast<int>(value);
 }
 
 bool Fields::yes(std::string_view name) const {
   const Form* value = single(name);
   const std::string text = value == nullptr ? std::string(word(name).byDefault) : asText(*value);
-  if (text != "yes" && text != "no") value->wrong("yes or no is expected, not '" + text + "'");
+  if (text != "yes" && text != "no") value->fail("yes or no is expected, not '" + text + "'");
   return text == "yes";
 }
 
--- a/src/settings/form.hpp
+++ b/src/settings/form.hpp
@@ -12,7 +12,7 @@
 namespace thistlefold::settings {
 
 /// Something in a file is not as it should be: "FILE:LINE:COLUMN: what, and what was expected".
-struct Wrong : std::runtime_error {
+struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -28,13 +28,13 @@
   bool isList() const { return kind == Kind::list; }
   /// The first word of a list, or empty.
   std::string_view head() const;
-  [[noreturn]] void wrong(const std::string& what) const;
+  [[noreturn]] void fail(const std::string& what) const;
 };
 
 /// A file that was read; its forms point to its name.
 class Document {
  public:
-  /// Throws Wrong.
+  /// Throws SettingsError.
   static Document open(const std::string& path);
   static Document parse(std::string name, const std::string& text);
   Document(Document&&) = default;
@@ -53,7 +53,7 @@
 
 /// One word of a vocabulary. The default is also what is used when the word is absent, so that what `check
 /// --explain` prints is what holds. An empty default: must be given.
-struct Word {
+struct Keyword {
   std::string_view word;
   std::string_view expects;
   std::string_view byDefault;
@@ -63,8 +63,9 @@
 /// The sub-lists of a list, each beginning with a word of a vocabulary.
 class Fields {
  public:
-  /// Throws Wrong at a word that is not in the vocabulary, naming the nearest, or that stands twice without `many`.
-  Fields(const Form& list, std::size_t from, std::span<const Word> vocabulary,
+  /// Throws SettingsError at a word that is not in the vocabulary, naming the nearest, or that stands twice without
+  /// `many`.
+  Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
          std::span<const std::string_view> many = {});
 
   bool has(std::string_view word) const { return find(word) != nullptr; }
@@ -78,12 +79,12 @@
   const Form& list() const { return *list_; }
 
  private:
-  const Word& word(std::string_view word) const;
+  const Keyword& word(std::string_view word) const;
   const Form* single(std::string_view word) const;
 
   const Form* list_;
   std::vector<const Form*> fields_;
-  std::span<const Word> vocabulary_;
+  std::span<const Keyword> vocabulary_;
 };
 
 double asNumber(const Form& form, double least, double most);
--- a/src/settings/loads.cpp
+++ b/src/settings/loads.cpp
@@ -5,7 +5,7 @@
 namespace thistlefold::settings {
 namespace {
 
-constexpr Word kLoads[] = {
+constexpr Keyword kLoads[] = {
     {"load", "(load FROM TO (SERVICE ERLANGS) ...)", "", "what is offered from one exchange to another; several"},
     {"price", "(price ZONE ZONE PRICE)", "", "of a circuit between two zones, either way; 1 where not said; several"},
 };
@@ -24,32 +24,32 @@
   const Document document = Document::open(path);
   const Fields fields(document.only("loads"), 1, kLoads, kMany);
   Loads loads;
-  const std::size_t places = fleet.places.size(), services = fleet.offers.size();
+  const std::size_t places = fleet.places.size(), services = fleet.offeredServices.size();
   loads.erlangs.assign(places * places * services, 0.0);
   const auto zones = fleet.zones();
   loads.prices.assign(zones.size(), std::vector<double>(zones.size(), 1.0));
   for (const Form* one : fields.all("load")) {
-    if (one->items.size() < 4) one->wrong("(load FROM TO (SERVICE ERLANGS) ...) is expected");
+    if (one->items.size() < 4) one->fail("(load FROM TO (SERVICE ERLANGS) ...) is expected");
     int ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
       ends[i] = fleet.place(asText(one->items[i + 1]));
       if (ends[i] < 0) unknownWord(one->items[i + 1], one->items[i + 1].value, names(fleet.places));
     }
-    if (ends[0] == ends[1]) one->wrong("two different exchanges are expected");
+    if (ends[0] == ends[1]) one->fail("two different exchanges are expected");
     for (std::size_t i = 3; i < one->items.size(); ++i) {
       const Form& what = one->items[i];
-      if (!what.isList() || what.items.size() != 2) what.wrong("(SERVICE ERLANGS) is expected");
+      if (!what.isList() || what.items.size() != 2) what.fail("(SERVICE ERLANGS) is expected");
       const int service = fleet.service(asText(what.items[0]));
-      if (service < 0) unknownWord(what.items[0], what.items[0].value, names(fleet.offers));
+      if (service < 0) unknownWord(what.items[0], what.items[0].value, names(fleet.offeredServices));
       double& load =
           loads.erlangs[(static_cast<std::size_t>(ends[0]) * places + static_cast<std::size_t>(ends[1])) * services +
                         static_cast<std::size_t>(service)];
-      if (load > 0) what.wrong("this load stands twice");
+      if (load > 0) what.fail("this load stands twice");
       load = asNumber(what.items[1], 0, 1e6);
     }
   }
   for (const Form* one : fields.all("price")) {
-    if (one->items.size() != 4) one->wrong("(price ZONE ZONE PRICE) is expected");
+    if (one->items.size() != 4) one->fail("(price ZONE ZONE PRICE) is expected");
     std::size_t ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
       const int zone = fleet.zone(asText(one->items[i + 1]));
--- a/src/settings/loads.hpp
+++ b/src/settings/loads.hpp
@@ -14,7 +14,7 @@
   std::vector<std::vector<double>> prices;  // of a circuit, by zone and zone; 1 where nothing is said
 };
 
-/// Reads (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE PRICE) ...). Throws Wrong.
+/// Reads (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE PRICE) ...). Throws SettingsError.
 Loads openLoads(const std::string& path, const Fleet& fleet);
 
 }  // namespace thistlefold::settings
--- a/src/simulators/callers.cpp
+++ b/src/simulators/callers.cpp
@@ -5,10 +5,10 @@
 
 namespace thistlefold {
 
-struct Callers::Want : iax2::CallOwner {
-  Want(Callers& all, Dial what) : callers(all), dial(std::move(what)) {}
+struct SimulatedCallers::Want : iax2::CallOwner {
+  Want(SimulatedCallers& all, PlannedCall what) : callers(all), dial(std::move(what)) {}
 
-  void heard(iax2::Call&, const iax2::Frame& frame) override {
+  void onFrame(iax2::Call&, const iax2::Frame& frame) override {
     if (frame.is(iax2::Control::answer) && !standing) {
       standing = true;
       ++callers.served_[service()].answers;
@@ -22,7 +22,7 @@
       told = Span::ms(frame.elements.wait.value_or(0));
     }
   }
-  void gone(iax2::Call&, iax2::Gone how) override {
+  void onCallEnded(iax2::Call&, iax2::CallEnd how) override {
     call = nullptr;
     callers.cancel(*this);
     if (done) return callers.finish(*this);
@@ -33,17 +33,17 @@
       wasCut = true;
       standing = false;
       inTime = false;
-      firstDialled = callers.now_ + callers.habit_.returnsWithin * callers.lot();
+      firstDialled = callers.now_ + callers.behaviour_.returnsWithin * callers.lot();
       tries = 0;
       dial.hold = dial.hold * 0.5;
       return callers.later(firstDialled, *this, Act::dial);
     }
-    callers.tried(*this, how == iax2::Gone::hungUp, cause, told);
+    callers.tried(*this, how == iax2::CallEnd::hungUp, cause, told);
   }
   std::size_t service() const { return static_cast<std::size_t>(dial.service); }
 
-  Callers& callers;
-  Dial dial;
+  SimulatedCallers& callers;
+  PlannedCall dial;
   iax2::Call* call = nullptr;
   Instant firstDialled;
   Instant acts = Instant::never();
@@ -55,33 +55,33 @@
   std::list<Want>::iterator self;
 };
 
-Callers::Callers(const Fleet& fleet, CallerHabit habit, std::uint64_t seed, Instant now)
+SimulatedCallers::SimulatedCallers(const Fleet& fleet, CallerBehaviour behaviour, std::uint64_t seed, Instant now)
     : fleet_(fleet),
-      habit_(habit),
+      behaviour_(behaviour),
       now_(now),
       begin_(now),
       endpoint_(*this, seed),
       chance_(static_cast<std::uint32_t>(seed) | 1u),
-      served_(fleet.offers.size()) {}
+      served_(fleet.offeredServices.size()) {}
 
-Callers::~Callers() = default;
+SimulatedCallers::~SimulatedCallers() = default;
 
-void Callers::plan(std::vector<Dial> dials) {
-  for (Dial& dial : dials) planned_.push_back(std::move(dial));
+void SimulatedCallers::plan(std::vector<PlannedCall> dials) {
+  for (PlannedCall& dial : dials) planned_.push_back(std::move(dial));
 }
 
-void Callers::plan(Dial dial) { planned_.push_back(std::move(dial)); }
+void SimulatedCallers::plan(PlannedCall dial) { planned_.push_back(std::move(dial)); }
 
-void Callers::take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
+void SimulatedCallers::receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
   now_ = now;
   endpoint_.receive(now, from, datagram);
 }
 
-void Callers::turn(Instant now, const Outlet& out) {
+void SimulatedCallers::process(Instant now, const DatagramSender& out) {
   now_ = now;
   endpoint_.expire(now);
   while (!planned_.empty() && planned_.front().at <= now) {
-    Dial next = std::move(planned_.front());
+    PlannedCall next = std::move(planned_.front());
     planned_.pop_front();
     start(std::move(next));
   }
@@ -98,7 +98,7 @@
       want->done = act == Act::hangUp;
       iax2::Call& call = *want->call;
       if (act == Act::giveUp) {
-        call.belongTo(nullptr);
+        call.setOwner(nullptr);
         want->call = nullptr;
         endpoint_.hangUp(now_, call, iax2::Iax::HANGUP, e);
         tried(*want, false, 0, Span::none());
@@ -110,14 +110,14 @@
   endpoint_.flush(now, out);
 }
 
-Instant Callers::nextTurn() const {
+Instant SimulatedCallers::nextDeadline() const {
   Instant next = endpoint_.nextDue();
   if (!planned_.empty()) next = std::min(next, planned_.front().at);
   if (!acts_.empty()) next = std::min(next, acts_.begin()->first);
   return next;
 }
 
-void Callers::start(Dial what) {
+void SimulatedCallers::start(PlannedCall what) {
   const auto self = wants_.emplace(wants_.end(), *this, std::move(what));
   Want& want = *self;
   want.self = self;
@@ -133,13 +133,13 @@
   dial(want);
 }
 
-void Callers::dial(Want& want) {
+void SimulatedCallers::dial(Want& want) {
   ++want.tries;
   ++served_[want.service()].tries;
   want.cause = 0;
   want.told = Span::none();
   const Service& service = fleet_.data.services[want.service()];
-  const Span limit = service.timerLimit * habit_.tryShare;
+  const Span limit = service.timerLimit * behaviour_.tryShare;
   iax2::Elements e;
   e.version = std::uint16_t{2};
   e.calledNumber = want.dial.number;
@@ -149,7 +149,7 @@
   const std::string user =
       std::to_string(want.dial.office) + "-" + std::to_string(static_cast<int>(500 * std::pow(share, 3.3)));
   e.callingNumber = user;
-  e.calledContext = fleet_.offers[want.service()].name;
+  e.calledContext = fleet_.offeredServices[want.service()].name;
   e.timeLeft = static_cast<std::uint32_t>(limit.ms());
   if (want.wasCut) e.wasCut = true;
   const auto office = static_cast<std::size_t>(want.dial.office);
@@ -158,17 +158,17 @@
   later(now_ + limit, want, Act::giveUp);
 }
 
-void Callers::tried(Want& want, bool refused, int cause, Span told) {
+void SimulatedCallers::tried(Want& want, bool refused, int cause, Span told) {
   want.refused = refused;
   if (refused) ++refusals_[cause];
-  if (want.tries <= habit_.redials) {
-    const Span wait = told > Span::none() && lot() < habit_.honour ? told : habit_.backoff * (0.5 + lot());
+  if (want.tries <= behaviour_.redials) {
+    const Span wait = told > Span::none() && lot() < behaviour_.honour ? told : behaviour_.backoff * (0.5 + lot());
     return later(now_ + wait, want, Act::dial);
   }
   finish(want);
 }
 
-void Callers::finish(Want& want) {
+void SimulatedCallers::finish(Want& want) {
   Served& served = served_[want.service()];
   const Service& service = fleet_.data.services[want.service()];
   Second& second = seconds_[want.second];
@@ -185,12 +185,12 @@
   wants_.erase(want.self);
 }
 
-void Callers::later(Instant at, Want& want, Act act) {
+void SimulatedCallers::later(Instant at, Want& want, Act act) {
   want.acts = at;
   acts_.emplace(at, std::pair(&want, act));
 }
 
-void Callers::cancel(Want& want) {
+void SimulatedCallers::cancel(Want& want) {
   if (want.acts == Instant::never()) return;
   for (auto [it, end] = acts_.equal_range(want.acts); it != end; ++it) {
     if (it->second.first != &want) continue;
@@ -200,6 +200,6 @@
   want.acts = Instant::never();
 }
 
-double Callers::lot() { return std::generate_canonical<double, 24>(chance_); }
+double SimulatedCallers::lot() { return std::generate_canonical<double, 24>(chance_); }
 
 }  // namespace thistlefold
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -15,7 +15,7 @@
 namespace thistlefold {
 
 /// One session that a caller wants. Redials belong to it.
-struct Dial {
+struct PlannedCall {
   Instant at;
   int office = 0;
   int service = 0;
@@ -23,7 +23,7 @@
   Span hold;
 };
 
-struct CallerHabit {
+struct CallerBehaviour {
   int redials = 2;
   Span backoff = Span::ms(800);
   double honour = 0.7;                  // share of callers that wait as long as they are told
@@ -31,20 +31,20 @@
   Span returnsWithin = Span::ms(1500);  // a caller who was cut dials again within this
 };
 
-class Callers final : public Station, private iax2::Door {
+class SimulatedCallers final : public DatagramHandler, private iax2::CallListener {
  public:
-  Callers(const Fleet& fleet, CallerHabit habit, std::uint64_t seed, Instant now);
-  ~Callers() override;
+  SimulatedCallers(const Fleet& fleet, CallerBehaviour behaviour, std::uint64_t seed, Instant now);
+  ~SimulatedCallers() override;
 
   /// Seconds of the day are counted from here.
   void begin(Instant at) { begin_ = at; }
   /// Dials must come in order of time.
-  void plan(std::vector<Dial> dials);
-  void plan(Dial dial);
+  void plan(std::vector<PlannedCall> dials);
+  void plan(PlannedCall dial);
 
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
-  void turn(Instant now, const Outlet& out) override;
-  Instant nextTurn() const override;
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
+  void process(Instant now, const DatagramSender& out) override;
+  Instant nextDeadline() const override;
 
   /// Sessions of one service, by how they went; each is in exactly one of stood, late, refused, failed once it is
   /// over. Of those that stood, cut ones are counted again in `cut`.
@@ -70,11 +70,11 @@
   struct Want;
   enum class Act { dial, giveUp, hangUp };
 
-  void opened(iax2::Call&, const iax2::Frame&) override {}  // nobody calls callers
-  void ponged(iax2::Address, const iax2::Frame&) override {}
-  iax2::Elements greeting(iax2::Address) override { return {}; }
+  void onIncomingCall(iax2::Call&, const iax2::Frame&) override {}  // nobody calls callers
+  void onPong(iax2::Address, const iax2::Frame&) override {}
+  iax2::Elements pongElements(iax2::Address) override { return {}; }
 
-  void start(Dial dial);
+  void start(PlannedCall dial);
   void dial(Want& want);
   void tried(Want& want, bool refused, int cause, Span told);
   void finish(Want& want);
@@ -83,12 +83,12 @@
   double lot();
 
   const Fleet& fleet_;
-  CallerHabit habit_;
+  CallerBehaviour behaviour_;
   Instant now_;
   Instant begin_;
   iax2::Endpoint endpoint_;
   std::minstd_rand chance_;
-  std::deque<Dial> planned_;
+  std::deque<PlannedCall> planned_;
   std::list<Want> wants_;
   std::multimap<Instant, std::pair<Want*, Act>> acts_;
   std::vector<Served> served_;
--- a/src/simulators/directory.cpp
+++ b/src/simulators/directory.cpp
@@ -13,31 +13,31 @@
 
 }  // namespace
 
-DirectoryStandIn::DirectoryStandIn(std::vector<iax2::Address> offices, std::size_t exchanges, Instant now)
+SimulatedDirectory::SimulatedDirectory(std::vector<iax2::Address> offices, std::size_t exchanges, Instant now)
     : offices_(std::move(offices)), fullAt_(now), id_(static_cast<std::uint64_t>((now - Instant()).ms())) {
   Known known;
   known.started = now - kLongStarted;
   told_.assign(exchanges, known);
 }
 
-void DirectoryStandIn::take(Instant, iax2::Address from, std::span<const std::uint8_t> datagram) {
+void SimulatedDirectory::receive(Instant, iax2::Address from, std::span<const std::uint8_t> datagram) {
   if (std::equal(datagram.begin(), datagram.end(), kAsk.begin(), kAsk.end())) asked_.push_back(from);
 }
 
-void DirectoryStandIn::learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice) {
+void SimulatedDirectory::learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice) {
   Later later{place, {readiness, start, now}};
   const Known& known = told_[static_cast<std::size_t>(place)];
   if (known.start == start) later.known.started = known.started;
   later_.emplace(now + notice, later);
 }
 
-void DirectoryStandIn::resized(Instant now, GroupSize group) {
+void SimulatedDirectory::resized(Instant now, GroupSize group) {
   std::erase_if(groups_, [&](const GroupSize& one) { return one.a == group.a && one.b == group.b; });
   groups_.push_back(group);
   fullAt_ = now;
 }
 
-void DirectoryStandIn::turn(Instant now, const Outlet& out) {
+void SimulatedDirectory::process(Instant now, const DatagramSender& out) {
   std::vector<int> changed;
   while (!later_.empty() && later_.begin()->first <= now) {
     Later& later = later_.begin()->second;
@@ -53,7 +53,7 @@
   if (!changed.empty()) push(now, out, changed);
   if (fullAt_ <= now || !asked_.empty()) {
     ExchangeList list{id_, ++version_, true, {}, groups_};
-    for (std::size_t i = 0; i < told_.size(); ++i) list.listings.push_back(listing(static_cast<int>(i), now));
+    for (std::size_t i = 0; i < told_.size(); ++i) list.entries.push_back(entry(static_cast<int>(i), now));
     const std::string text = encode(list);
     const auto& to = fullAt_ <= now ? offices_ : asked_;
     for (const iax2::Address office : to) {
@@ -64,18 +64,18 @@
   }
 }
 
-Instant DirectoryStandIn::nextTurn() const {
+Instant SimulatedDirectory::nextDeadline() const {
   return later_.empty() ? fullAt_ : std::min(fullAt_, later_.begin()->first);
 }
 
-Listing DirectoryStandIn::listing(int place, Instant now) const {
+ListEntry SimulatedDirectory::entry(int place, Instant now) const {
   const Known& known = told_[static_cast<std::size_t>(place)];
   return {place, known.readiness, known.start, std::max(now - known.started, Span::none())};
 }
 
-void DirectoryStandIn::push(Instant now, const Outlet& out, const std::vector<int>& changed) {
+void SimulatedDirectory::push(Instant now, const DatagramSender& out, const std::vector<int>& changed) {
   ExchangeList list{id_, ++version_, false, {}, {}};
-  for (const int place : changed) list.listings.push_back(listing(place, now));
+  for (const int place : changed) list.entries.push_back(entry(place, now));
   const std::string text = encode(list);
   for (const iax2::Address office : offices_) {
     out(office, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -11,14 +11,14 @@
 
 namespace thistlefold {
 
-class DirectoryStandIn final : public Station {
+class SimulatedDirectory final : public DatagramHandler {
  public:
   /// `offices`: whom it tells without being asked. All exchanges count as ready and long started.
-  DirectoryStandIn(std::vector<iax2::Address> offices, std::size_t exchanges, Instant now);
+  SimulatedDirectory(std::vector<iax2::Address> offices, std::size_t exchanges, Instant now);
 
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
-  void turn(Instant now, const Outlet& out) override;
-  Instant nextTurn() const override;
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
+  void process(Instant now, const DatagramSender& out) override;
+  Instant nextDeadline() const override;
 
   /// What is true from now on; told after `notice`. `start` is the mark of the processor that runs there.
   void learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice);
@@ -37,8 +37,8 @@
     int place;
     Known known;
   };
-  Listing listing(int place, Instant now) const;
-  void push(Instant now, const Outlet& out, const std::vector<int>& changed);
+  ListEntry entry(int place, Instant now) const;
+  void push(Instant now, const DatagramSender& out, const std::vector<int>& changed);
 
   std::vector<iax2::Address> offices_;
   std::vector<Known> told_;
--- a/src/simulators/exchange.cpp
+++ b/src/simulators/exchange.cpp
@@ -4,15 +4,15 @@
 
 namespace thistlefold {
 
-struct ExchangeStandIn::Taken : iax2::CallOwner {
-  Taken(ExchangeStandIn& at, std::uint64_t k, iax2::Call& on) : exchange(at), key(k), call(&on) {}
-  void heard(iax2::Call&, const iax2::Frame&) override {}
-  void gone(iax2::Call&, iax2::Gone) override {
+struct SimulatedExchange::Taken : iax2::CallOwner {
+  Taken(SimulatedExchange& at, std::uint64_t k, iax2::Call& on) : exchange(at), key(k), call(&on) {}
+  void onFrame(iax2::Call&, const iax2::Frame&) override {}
+  void onCallEnded(iax2::Call&, iax2::CallEnd) override {
     call = nullptr;
     if (stands) {
       stands = false;
       --exchange.standing_;
-      ++exchange.tally_.ended;
+      ++exchange.counters_.ended;
     }
     if (!called.empty()) {
       const auto lines = exchange.inUse_.find(called);
@@ -26,7 +26,7 @@
     }
   }
 
-  ExchangeStandIn& exchange;
+  SimulatedExchange& exchange;
   std::uint64_t key;
   iax2::Call* call;
   std::string called;  // set while it holds one of few lines
@@ -35,21 +35,21 @@
   bool wasUp = false;
 };
 
-ExchangeStandIn::ExchangeStandIn(ProcessorModel model, std::uint64_t seed, Instant now, bool warm)
+SimulatedExchange::SimulatedExchange(ProcessorModel model, std::uint64_t seed, Instant now, bool warm)
     : model_(std::move(model)),
       now_(now),
-      started_(warm ? now - model_.warmAfter : now),
+      started_(warm ? now - model_.warmUpTime : now),
       mark_(static_cast<std::uint64_t>((now - Instant()).ms() * 1000) + seed % 1000),
       endpoint_(*this, seed ^ mark_) {}
 
-ExchangeStandIn::~ExchangeStandIn() = default;
+SimulatedExchange::~SimulatedExchange() = default;
 
-void ExchangeStandIn::take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
+void SimulatedExchange::receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) {
   now_ = now;
   if (!silent_ && !fallen_) endpoint_.receive(now, from, datagram);
 }
 
-void ExchangeStandIn::turn(Instant now, const Outlet& out) {
+void SimulatedExchange::process(Instant now, const DatagramSender& out) {
   // Work finishes at its own instant, whenever this is called.
   while (busy_ && doneAt_ <= now) {
     now_ = doneAt_;
@@ -67,9 +67,9 @@
   });
 }
 
-Instant ExchangeStandIn::nextTurn() const { return std::min(doneAt_, endpoint_.nextDue()); }
+Instant SimulatedExchange::nextDeadline() const { return std::min(doneAt_, endpoint_.nextDue()); }
 
-void ExchangeStandIn::hang(Instant now, bool hung) {
+void SimulatedExchange::hang(Instant now, bool hung) {
   now_ = now;
   hung_ = hung;
   if (hung) {
@@ -79,7 +79,7 @@
   }
 }
 
-void ExchangeStandIn::lose(Instant now, double share) {
+void SimulatedExchange::lose(Instant now, double share) {
   now_ = now;
   std::vector<std::uint64_t> keys;
   for (const auto& [key, taken] : taken_) {
@@ -92,61 +92,61 @@
     if (owed < 1) continue;
     owed -= 1;
     Taken& taken = *taken_[key];
-    ++tally_.cut;
+    ++counters_.cut;
     iax2::Elements e;
     e.causeCode = std::uint8_t{38};
-    e.why = iax2::Why::reset;
+    e.why = iax2::ReleaseReason::reset;
     endpoint_.hangUp(now, *taken.call, iax2::Iax::HANGUP, e);
   }
 }
 
-void ExchangeStandIn::opened(iax2::Call& call, const iax2::Frame& frame) {
-  ++tally_.setUps;
+void SimulatedExchange::onIncomingCall(iax2::Call& call, const iax2::Frame& frame) {
+  ++counters_.setUps;
   sent_.push_back(now_);
-  while (now_ - sent_.front() > model_.tipAfter) sent_.pop_front();
-  const double canDo = 1000.0 / model_.setUpWork * speed() * model_.tipAfter.ms() / 1000;
-  if (now_ - started_<model_.warmAfter&& static_cast<double>(sent_.size())> model_.fallMultiple * canDo) {
+  while (now_ - sent_.front() > model_.overloadWindow) sent_.pop_front();
+  const double canDo = 1000.0 / model_.setUpWork * speed() * model_.overloadWindow.ms() / 1000;
+  if (now_ - started_<model_.warmUpTime&& static_cast<double>(sent_.size())> model_.overloadFactor * canDo) {
     fallen_ = true;
     return;
   }
   const std::uint64_t key = ++serial_;
   auto made = std::make_unique<Taken>(*this, key, call);
   made->number = frame.elements.calledNumber;
-  call.belongTo(made.get());
+  call.setOwner(made.get());
   taken_[key] = std::move(made);
   enqueue({wait() > model_.longestWait ? Work::turnAway : Work::setUp, key});
 }
 
-iax2::Elements ExchangeStandIn::greeting(iax2::Address) {
+iax2::Elements SimulatedExchange::pongElements(iax2::Address) {
   iax2::Elements e = hung_ ? iax2::Elements() : told();
   e.started = mark_;
   return e;
 }
 
-double ExchangeStandIn::speed() const {
-  const double age = std::clamp((now_ - started_) / model_.warmAfter, 0.0, 1.0);
-  return (model_.coldFrom + (1 - model_.coldFrom) * age) / slow_;
+double SimulatedExchange::speed() const {
+  const double age = std::clamp((now_ - started_) / model_.warmUpTime, 0.0, 1.0);
+  return (model_.coldCapacityShare + (1 - model_.coldCapacityShare) * age) / slow_;
 }
 
-double ExchangeStandIn::cost(Work work) const {
+double SimulatedExchange::cost(Work work) const {
   const double warm = work == Work::setUp      ? model_.setUpWork
                       : work == Work::turnAway ? model_.turnAwayWork
                                                : model_.followWork;
   return warm / speed();
 }
 
-void ExchangeStandIn::enqueue(Job job) {
+void SimulatedExchange::enqueue(Job job) {
   (job.work == Work::setUp ? waiting_ : urgent_).push_back(job);
   startNext();
 }
 
-void ExchangeStandIn::startNext() {
+void SimulatedExchange::startNext() {
   while (!busy_ && !hung_ && (!urgent_.empty() || !waiting_.empty())) {
     std::deque<Job>& line = urgent_.empty() ? waiting_ : urgent_;
     current_ = line.front();
     line.pop_front();
     if (current_.work == Work::setUp && !taken_.contains(current_.session)) {
-      ++tally_.dropped;
+      ++counters_.dropped;
       continue;
     }
     busy_ = true;
@@ -157,7 +157,7 @@
   }
 }
 
-void ExchangeStandIn::finishJob(const Job& job) {
+void SimulatedExchange::finishJob(const Job& job) {
   const auto it = taken_.find(job.session);
   if (it == taken_.end()) return;
   Taken& taken = *it->second;
@@ -165,8 +165,8 @@
     case Work::setUp: {
       const auto few = model_.lines.find(taken.number);
       if (few != model_.lines.end() && inUse_[taken.number] >= few->second) {
-        ++tally_.linesBusy;
-        return refuse(taken, iax2::Why::lineBusy, 17, Span::none());
+        ++counters_.linesBusy;
+        return refuse(taken, iax2::ReleaseReason::lineBusy, 17, Span::none());
       }
       if (few != model_.lines.end()) {
         ++inUse_[taken.number];
@@ -178,13 +178,13 @@
       return;
     }
     case Work::turnAway:
-      ++tally_.turnedAway;
-      return refuse(taken, iax2::Why::processorFull, 42, wait());
+      ++counters_.turnedAway;
+      return refuse(taken, iax2::ReleaseReason::processorFull, 42, wait());
     case Work::answer:
       if (taken.call == nullptr) return;
       taken.stands = true;
       ++standing_;
-      ++tally_.stood;
+      ++counters_.stood;
       endpoint_.send(now_, *taken.call, iax2::Control::answer);
       return;
     case Work::release:
@@ -193,7 +193,7 @@
   }
 }
 
-void ExchangeStandIn::refuse(Taken& taken, iax2::Why why, std::uint8_t code, Span wait) {
+void SimulatedExchange::refuse(Taken& taken, iax2::ReleaseReason why, std::uint8_t code, Span wait) {
   if (taken.call == nullptr) return;
   iax2::Elements e = told();
   e.why = why;
@@ -202,14 +202,14 @@
   endpoint_.hangUp(now_, *taken.call, iax2::Iax::REJECT, e);
 }
 
-Span ExchangeStandIn::wait() const {
+Span SimulatedExchange::wait() const {
   double ms = busy_ ? std::max(0.0, (doneAt_ - now_).ms()) : 0;
   for (const Job& job : urgent_) ms += cost(job.work);
   ms += static_cast<double>(waiting_.size()) * cost(Work::setUp);
   return Span::ms(ms);
 }
 
-iax2::Elements ExchangeStandIn::told() const {
+iax2::Elements SimulatedExchange::told() const {
   double used = 0;
   for (const auto& [at, ms] : worked_) used += now_ - at <= Span::ms(1000) ? ms : 0;
   const double whole = speed() * 1000 / (model_.setUpWork + 2 * model_.followWork);
--- a/src/simulators/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -20,23 +20,23 @@
   double followWork = 0.7;    // the answer, and the release: each
   double turnAwayWork = 0.4;  // turning a set-up away
   Span longestWait = Span::ms(1500);
-  double coldFrom = 0.3;  // share of its speed when just started
-  Span warmAfter = Span::ms(12000);
-  double fallMultiple = 3;           // falls over when sent more than this multiple of what it can do ...
-  Span tipAfter = Span::ms(1500);    // ... for so long
-  std::map<std::string, int> lines;  // called numbers with few lines, and how many
+  double coldCapacityShare = 0.3;  // share of its speed when just started
+  Span warmUpTime = Span::ms(12000);
+  double overloadFactor = 3;             // falls over when sent more than this multiple of what it can do ...
+  Span overloadWindow = Span::ms(1500);  // ... for so long
+  std::map<std::string, int> lines;      // called numbers with few lines, and how many
 };
 
-class ExchangeStandIn final : public Station, private iax2::Door {
+class SimulatedExchange final : public DatagramHandler, private iax2::CallListener {
  public:
   /// `warm`: it has been running for long.
-  ExchangeStandIn(ProcessorModel model, std::uint64_t seed, Instant now, bool warm);
+  SimulatedExchange(ProcessorModel model, std::uint64_t seed, Instant now, bool warm);
 
-  ~ExchangeStandIn() override;
+  ~SimulatedExchange() override;
 
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
-  void turn(Instant now, const Outlet& out) override;
-  Instant nextTurn() const override;
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
+  void process(Instant now, const DatagramSender& out) override;
+  Instant nextDeadline() const override;
 
   // Faults. All last until changed again.
   void hang(Instant now, bool hung);              // takes set-ups and answers none
@@ -44,10 +44,10 @@
   void slow(double times) { slow_ = times; }
   void lose(Instant now, double share);  // cuts that share of its standing sessions
 
-  struct Tally {
+  struct Counters {
     std::uint64_t setUps = 0, stood = 0, ended = 0, turnedAway = 0, linesBusy = 0, dropped = 0, cut = 0;
   };
-  const Tally& tally() const { return tally_; }
+  const Counters& counters() const { return counters_; }
   bool fallen() const { return fallen_; }
   std::size_t standing() const { return standing_; }
   std::uint64_t mark() const { return mark_; }
@@ -60,16 +60,16 @@
     std::uint64_t session;  // key into taken_; gone by then: the job is dropped
   };
 
-  void opened(iax2::Call& call, const iax2::Frame& frame) override;
-  void ponged(iax2::Address, const iax2::Frame&) override {}
-  iax2::Elements greeting(iax2::Address to) override;
+  void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override;
+  void onPong(iax2::Address, const iax2::Frame&) override {}
+  iax2::Elements pongElements(iax2::Address to) override;
 
   double speed() const;
   double cost(Work work) const;
   void enqueue(Job job);
   void startNext();
   void finishJob(const Job& job);
-  void refuse(Taken& taken, iax2::Why why, std::uint8_t code, Span wait);
+  void refuse(Taken& taken, iax2::ReleaseReason why, std::uint8_t code, Span wait);
   Span wait() const;
   iax2::Elements told() const;
 
@@ -90,7 +90,7 @@
   double slow_ = 1;
   bool hung_ = false, silent_ = false, fallen_ = false;
   std::size_t standing_ = 0;
-  Tally tally_;
+  Counters counters_;
 };
 
 }  // namespace thistlefold
--- a/src/stream_handler.hpp
+++ b/src/stream_handler.hpp
@@ -37,14 +37,14 @@
 class Dialler {
  public:
   virtual ~Dialler() = default;
-  /// Party::up() or Party::down() follows, never from within; nullptr if no descriptor is left.
+  /// StreamHandler::up() or StreamHandler::down() follows, never from within; nullptr if no descriptor is left.
   virtual Stream* dial(iax2::Address to) = 0;
 };
 
 /// Whoever speaks over streams. Free of I/O and clock, one thread at a time.
-class Party {
+class StreamHandler {
  public:
-  virtual ~Party() = default;
+  virtual ~StreamHandler() = default;
   /// Someone connected.
   virtual void came(Instant now, Stream& stream) = 0;
   /// A stream that was dialled stands.
@@ -52,9 +52,9 @@
   virtual void read(Instant now, Stream& stream, std::string_view bytes) = 0;
   virtual void down(Instant now, Stream& stream, StreamEnd how) = 0;
   /// One round over all that came in and all that is due.
-  virtual void turn(Instant now) = 0;
-  /// When turn() is wanted at the latest though nothing comes in.
-  virtual Instant nextTurn() const = 0;
+  virtual void process(Instant now) = 0;
+  /// When process() is wanted at the latest though nothing comes in.
+  virtual Instant nextDeadline() const = 0;
 };
 
 }  // namespace thistlefold
--- a/src/wire/exchange_registry.cpp
+++ b/src/wire/exchange_registry.cpp
@@ -4,7 +4,7 @@
 
 namespace thistlefold::wire {
 
-ListedExchange& Roster::exchange(std::uint32_t id) {
+ListedExchange& ExchangeRegistry::exchange(std::uint32_t id) {
   auto& exchange = exchanges_[id];
   if (exchange == nullptr) {
     exchange = make_();
@@ -13,30 +13,30 @@
   return *exchange;
 }
 
-ListedExchange* Roster::known(std::uint32_t id) const {
+ListedExchange* ExchangeRegistry::known(std::uint32_t id) const {
   const auto it = exchanges_.find(id);
   return it == exchanges_.end() ? nullptr : it->second.get();
 }
 
-Exchange* Roster::at(double place) const {
+Exchange* ExchangeRegistry::at(double place) const {
   if (!(place >= -1e9 && place <= 1e9)) return nullptr;
   const auto it = places_.find(static_cast<int>(place));
   return it == places_.end() ? nullptr : it->second;
 }
 
-void Roster::list(Controller& controller, const std::vector<Listing>& lines, bool whole) {
-  for (const Listing& line : lines) {
+void ExchangeRegistry::list(Controller& controller, const std::vector<ListEntry>& lines, bool whole) {
+  for (const ListEntry& line : lines) {
     ListedExchange& listed = exchange(line.id);
     if (line.placed) listed.place = line.place;
     listed.own = listed.place == here_ && here_ >= 0;
     Exchange*& holder = places_[listed.place];
     if (holder == nullptr || line.readiness == Readiness::ready) holder = &listed;
-    controller.listed(listed, line.readiness, line.started);
+    controller.exchangeListed(listed, line.readiness, line.started);
   }
   if (!whole) return;
   for (auto& [id, listed] : exchanges_) {
-    const bool named = std::any_of(lines.begin(), lines.end(), [&](const Listing& line) { return line.id == id; });
-    if (!named) controller.listed(*listed, Readiness::gone, listed->started);
+    const bool named = std::any_of(lines.begin(), lines.end(), [&](const ListEntry& line) { return line.id == id; });
+    if (!named) controller.exchangeListed(*listed, Readiness::gone, listed->started);
   }
 }
 
--- a/src/wire/exchange_registry.hpp
+++ b/src/wire/exchange_registry.hpp
@@ -16,7 +16,7 @@
 };
 
 /// A line of a list of exchanges. Without a place: the one it had.
-struct Listing {
+struct ListEntry {
   std::uint32_t id = 0;
   int place = -1;
   bool placed = false;
@@ -26,18 +26,19 @@
 
 /// The exchanges that an office was told of, by id and by place. They live as long as the roster: the module may
 /// point to any of them.
-class Roster {
+class ExchangeRegistry {
  public:
   using Make = std::function<std::unique_ptr<ListedExchange>()>;
   /// `here`: the own exchange's place, -1 for none. `make`: for whoever keeps more of an exchange.
-  explicit Roster(int here, Make make = std::make_unique<ListedExchange>) : here_(here), make_(std::move(make)) {}
+  explicit ExchangeRegistry(int here, Make make = std::make_unique<ListedExchange>)
+      : here_(here), make_(std::move(make)) {}
 
   /// Circuits may be told of an exchange before the directory names it; until then it counts as gone.
   ListedExchange& exchange(std::uint32_t id);
   ListedExchange* known(std::uint32_t id) const;
   Exchange* at(double place) const;
   /// `whole`: who is not in the list is gone.
-  void list(Controller& controller, const std::vector<Listing>& lines, bool whole);
+  void list(Controller& controller, const std::vector<ListEntry>& lines, bool whole);
 
   const std::map<std::uint32_t, std::unique_ptr<ListedExchange>>& all() const { return exchanges_; }
 
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -6,8 +6,8 @@
 
 std::string_view text(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-[[noreturn]] void wrong(const char* field, const char* wanted) {
-  throw WireFault(std::string("field ") + field + ": " + wanted);
+[[noreturn]] void failField(const char* field, const char* wanted) {
+  throw ParseError(std::string("field ") + field + ": " + wanted);
 }
 
 const Value* find(const Value& fields, const char* name) {
@@ -15,18 +15,18 @@
   return it == fields.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-const Value& need(const Value& fields, const char* name) {
+const Value& requireField(const Value& fields, const char* name) {
   const Value* value = find(fields, name);
-  if (value == nullptr) wrong(name, "missing");
+  if (value == nullptr) failField(name, "missing");
   return *value;
 }
 
 double asNumber(const Value& value, const char* name) {
-  if (!value.IsNumber() || !std::isfinite(value.GetDouble())) wrong(name, "a number is wanted");
+  if (!value.IsNumber() || !std::isfinite(value.GetDouble())) failField(name, "a number is wanted");
   return value.GetDouble();
 }
 
-double number(const Value& fields, const char* name) { return asNumber(need(fields, name), name); }
+double number(const Value& fields, const char* name) { return asNumber(requireField(fields, name), name); }
 
 double number(const Value& fields, const char* name, double absent) {
   const Value* value = find(fields, name);
@@ -37,20 +37,20 @@
   const Value* value = find(fields, name);
   if (value == nullptr && absent) return *absent;
   const double read = value == nullptr ? number(fields, name) : asNumber(*value, name);
-  if (std::abs(read) > 2e9 || read != std::floor(read)) wrong(name, "a whole number is wanted");
+  if (std::abs(read) > 2e9 || read != std::floor(read)) failField(name, "a whole number is wanted");
   return static_cast<int>(read);
 }
 
-bool mark(const Value& fields, const char* name) {
+bool flag(const Value& fields, const char* name) {
   const Value* value = find(fields, name);
   if (value == nullptr) return false;
-  if (!value->IsBool()) wrong(name, "true or false is wanted");
+  if (!value->IsBool()) failField(name, "true or false is wanted");
   return value->GetBool();
 }
 
 std::string_view name(const Value& fields, const char* field) {
-  const Value& value = need(fields, field);
-  if (!value.IsString()) wrong(field, "text is wanted");
+  const Value& value = requireField(fields, field);
+  if (!value.IsString()) failField(field, "text is wanted");
   return text(value);
 }
 
@@ -62,7 +62,7 @@
   static const Value empty(rapidjson::kObjectType);
   const Value* value = find(fields, field);
   if (value == nullptr) return empty;
-  if (!value->IsObject()) wrong(field, "an object is wanted");
+  if (!value->IsObject()) failField(field, "an object is wanted");
   return *value;
 }
 
@@ -70,7 +70,7 @@
   static const Value empty(rapidjson::kArrayType);
   const Value* value = find(fields, field);
   if (value == nullptr) return empty;
-  if (!value->IsArray()) wrong(field, "an array is wanted");
+  if (!value->IsArray()) failField(field, "an array is wanted");
   return *value;
 }
 
@@ -79,8 +79,8 @@
 }
 
 std::uint32_t exchangeId(const Value& fields) {
-  const Value& value = need(fields, "Exchange");
-  if (!value.IsUint()) wrong("Exchange", "a number below 2^32 is wanted");
+  const Value& value = requireField(fields, "Exchange");
+  if (!value.IsUint()) failField("Exchange", "a number below 2^32 is wanted");
   return value.GetUint();
 }
 
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -13,23 +13,23 @@
 namespace thistlefold::wire {
 
 /// Something that can't be read as its page says; the text names the field or the offset.
-struct WireFault : std::runtime_error {
+struct ParseError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 using rapidjson::Value;
 
 std::string_view text(const Value& value);
-[[noreturn]] void wrong(const char* field, const char* wanted);
+[[noreturn]] void failField(const char* field, const char* wanted);
 
-// A field that is null counts as absent. All throw WireFault.
+// A field that is null counts as absent. All throw ParseError.
 const Value* find(const Value& fields, const char* name);
-const Value& need(const Value& fields, const char* name);
+const Value& requireField(const Value& fields, const char* name);
 double asNumber(const Value& value, const char* name);
 double number(const Value& fields, const char* name);
 double number(const Value& fields, const char* name, double absent);
 int integer(const Value& fields, const char* name, std::optional<int> absent = std::nullopt);
-bool mark(const Value& fields, const char* name);
+bool flag(const Value& fields, const char* name);
 std::string_view name(const Value& fields, const char* field);
 std::string_view name(const Value& fields, const char* field, std::string_view absent);
 const Value& object(const Value& fields, const char* field);
--- a/src/wire/office_config.hpp
+++ b/src/wire/office_config.hpp
@@ -8,9 +8,9 @@
 
 namespace thistlefold::wire {
 
-/// Throws WireFault.
-OfficeData readStart(const Value& conf);
+/// Throws ParseError.
+OfficeConfig readOfficeConfig(const Value& conf);
 /// The own exchange's place; -1 where there is none.
-int placeHere(const Value& conf);
+int ownPlace(const Value& conf);
 
 }  // namespace thistlefold::wire
