--- a/src/zones/lease.cpp
+++ b/src/zones/lease.cpp
@@ -15,11 +15,12 @@
 
 }  // namespace
 
-Pool::Pool(std::vector<Kind> kinds, int place, std::vector<int> zoneMates, int towards, Instant now, LeaseSpans spans)
+LeasedBudget::LeasedBudget(std::vector<Kind> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
+                           LeaseSpans spans)
     : kinds_(kinds),
       place_(place),
       towards_(towards),
-      count_(std::max<std::size_t>(zoneMates.size(), 1)),
+      count_(std::max<std::size_t>(zonePeers.size(), 1)),
       spans_(spans),
       mark_(static_cast<std::uint64_t>(microseconds(now))),
       started_(now),
@@ -32,21 +33,21 @@
   spans_.writtenOffAfter = std::max(spans_.writtenOffAfter, longest * 3.0);
   sums_ = {none(), none(), none(), none()};
   for (Lately& one : lately_) one = {std::vector<int>(size()), std::vector<int>(size())};
-  for (std::size_t i = 0; i < zoneMates.size(); ++i) {
-    if (zoneMates[i] == place) {
+  for (std::size_t i = 0; i < zonePeers.size(); ++i) {
+    if (zonePeers[i] == place) {
       index_ = i;
       continue;
     }
-    Mate mate;
-    mate.place = zoneMates[i];
+    ZonePeer mate;
+    mate.place = zonePeers[i];
     mate.lent = mate.ghost = mate.loan = mate.spare = mate.recalled = mate.ask = mate.back = none();
     // Serials of one that is started anew are above all it gave out before, as long as its clock runs on.
     mate.serial = mark_;
-    mates_.push_back(std::move(mate));
+    peers_.push_back(std::move(mate));
   }
 }
 
-void Pool::set(Instant now, const std::optional<Budget>& budget) {
+void LeasedBudget::set(Instant now, const std::optional<Budget>& budget) {
   if (budget_ && budget && budget->circuits < budget_->circuits) loweredAt_ = now;
   budget_ = budget;
   stale_ = true;
@@ -65,42 +66,42 @@
                      ? std::optional(*budget_->circuitSeconds / static_cast<double>(count_))
                      : std::nullopt,
                  budget_ ? budget_->period : Span::ms(3600000));
-  for (Mate& mate : mates_) mate.wanted = true;
+  for (ZonePeer& mate : peers_) mate.wanted = true;
   bounds(now);
 }
 
-void Pool::wait(Instant now) {
+void LeasedBudget::wait(Instant now) {
   waiting_ = budget_.has_value();
   bounds(now);
 }
 
 /// Whether the wait after a start is over.
-void Pool::endWait(Instant now) {
+void LeasedBudget::endWait(Instant now) {
   if (!waiting_) return;
   if (budget_ && now < started_ + spans_.settle) return;
-  const bool all = std::all_of(mates_.begin(), mates_.end(), [](const Mate& one) { return one.known; });
+  const bool all = std::all_of(peers_.begin(), peers_.end(), [](const ZonePeer& one) { return one.known; });
   if (talks() && !all && now < started_ + spans_.term * (1 + spans_.drift) + kGrain) return;
   waiting_ = false;
 }
 
 /// With equal parts there is nothing to say but what is left of earlier loans.
-bool Pool::talks() const {
+bool LeasedBudget::talks() const {
   if (!budget_) return false;
   if (budget_->dividing == Dividing::lent) return true;
   const auto any = [](const Units& units) {
     return std::any_of(units.begin(), units.end(), [](int one) { return one > 0; });
   };
-  return std::any_of(mates_.begin(), mates_.end(),
-                     [&](const Mate& mate) { return any(mate.lent) || any(mate.ghost) || any(mate.loan); });
+  return std::any_of(peers_.begin(), peers_.end(),
+                     [&](const ZonePeer& mate) { return any(mate.lent) || any(mate.ghost) || any(mate.loan); });
 }
 
 /// Sums over all mates. Added up anew after a change and when the next loan lapses: with 94 mates, a sum for each
 /// question would cost most of what lending does.
-void Pool::addUp(Instant now) const {
+void LeasedBudget::addUp(Instant now) const {
   if (!stale_ && now < lapses_) return;
   sums_ = {none(), none(), none(), none()};
   lapses_ = Instant::never();
-  for (const Mate& mate : mates_) {
+  for (const ZonePeer& mate : peers_) {
     const bool valid = mate.loanUntil > now;
     if (valid) lapses_ = std::min(lapses_, mate.loanUntil);
     for (std::size_t unit = 0; unit < size(); ++unit) {
@@ -114,23 +115,23 @@
   stale_ = false;
 }
 
-int Pool::borrowed(Instant now) const {
+int LeasedBudget::borrowed(Instant now) const {
   addUp(now);
   return sums_.borrowed[0];
 }
 
-int Pool::capacity(Instant now, std::size_t unit) const {
+int LeasedBudget::capacity(Instant now, std::size_t unit) const {
   addUp(now);
   return ownLeft(unit) + sums_.borrowed[unit];
 }
 
-int Pool::heldOf(std::size_t unit) const {
+int LeasedBudget::heldOf(std::size_t unit) const {
   const std::size_t services = kinds_.size();
   return unit == 0 ? part_.held() : part_.heldBy((unit - 1) % services);
 }
 
 /// What sessions may be let in on. What a lender wants back is not for new ones.
-void Pool::bounds(Instant now) {
+void LeasedBudget::bounds(Instant now) {
   if (!budget_) {
     part_.set(std::nullopt);
     overSince_ = Instant::never();
@@ -154,7 +155,7 @@
   }
 }
 
-int Pool::mustEnd(Instant now) const {
+int LeasedBudget::mustEnd(Instant now) const {
   if (!budget_ || budget_->overrun != Overrun::end) return 0;
   // Lowered by the operator: those that stand on what lenders want back are ended too.
   if (loweredAt_ <= now && now - loweredAt_ < spans_.term) return part_.over();
@@ -168,7 +169,7 @@
 
 // ---- Demand
 
-void Pool::count(Instant now) {
+void LeasedBudget::count(Instant now) {
   const std::int64_t third = std::max<std::int64_t>(1, microseconds(Instant() + spans_.demand) / 3);
   const std::int64_t number = microseconds(now) / third;
   for (; third_ < number; ++third_) {
@@ -183,7 +184,7 @@
 /// What this office had better have. `close`: what it can't do without, for which it wants back what it lent: what
 /// it holds, what it had to refuse, and room for one session more. Else the most it held of late and some above, by
 /// which it borrows and keeps: sessions in a group go up and down by about the root of their count.
-int Pool::needed(Instant now, std::size_t unit, bool close) const {
+int LeasedBudget::needed(Instant now, std::size_t unit, bool close) const {
   const std::size_t services = kinds_.size();
   int most = heldOf(unit), refused = 0;
   for (const Lately& one : lately_) {
@@ -203,7 +204,7 @@
 }
 
 /// Of the own part, what can be lent beside what is.
-int Pool::spareOf(Instant now, std::size_t unit) const {
+int LeasedBudget::spareOf(Instant now, std::size_t unit) const {
   if (waiting_ || budget_->dividing != Dividing::lent) return 0;
   addUp(now);
   int keep = needed(now, unit, true);
@@ -218,7 +219,7 @@
   return std::max(0, ownLeft(unit) - keep - sums_.writtenOff[unit]);
 }
 
-bool Pool::admits(Instant now, std::size_t service) {
+bool LeasedBudget::admits(Instant now, std::size_t service) {
   if (!budget_) return true;
   bounds(now);
   part_.asked(now, service);
@@ -226,20 +227,20 @@
   return part_.admits(now, service) && allowance_.admits(now, service);
 }
 
-void Pool::take(Instant now, std::size_t service) {
+void LeasedBudget::take(Instant now, std::size_t service) {
   part_.take(service);
   allowance_.take(now, service);
   count(now);
 }
 
-void Pool::release(Instant now, std::size_t service) {
+void LeasedBudget::release(Instant now, std::size_t service) {
   count(now);
   part_.release(service);
   allowance_.release(now, service);
   if (budget_) bounds(now);
 }
 
-void Pool::refused(Instant now, std::size_t service) {
+void LeasedBudget::refused(Instant now, std::size_t service) {
   if (!budget_ || budget_->dividing != Dividing::lent) return;
   count(now);
   const int width = kinds_[service].width;
@@ -251,21 +252,21 @@
 
 // ---- Borrowing
 
-void Pool::ask(Instant now) {
+void LeasedBudget::ask(Instant now) {
   for (std::size_t unit = 0; unit < size(); ++unit) {
     const bool service = unit > 0 && unit <= kinds_.size();
     if (service && !(unit - 1 < budget_->classes.size() && budget_->classes[unit - 1].most)) continue;
     int wanting = needed(now, unit, false) - std::max(0, capacity(now, unit));
-    std::vector<Mate*> lenders;
-    for (Mate& mate : mates_) {
+    std::vector<ZonePeer*> lenders;
+    for (ZonePeer& mate : peers_) {
       mate.ask[unit] = mate.loan[unit];
       if (wanting > 0 && mate.heardAt + spans_.term > now) lenders.push_back(&mate);
     }
     // Each office begins with its next one in the fleet file: all that want more at once would else ask the same.
     std::rotate(lenders.begin(),
-                std::find_if(lenders.begin(), lenders.end(), [&](const Mate* one) { return one->place > place_; }),
+                std::find_if(lenders.begin(), lenders.end(), [&](const ZonePeer* one) { return one->place > place_; }),
                 lenders.end());
-    for (Mate* mate : lenders) {
+    for (ZonePeer* mate : lenders) {
       if (wanting <= 0) break;
       if (mate->spare[unit] == 0) continue;
       const int more = std::min(wanting, mate->spare[unit]);
@@ -279,11 +280,11 @@
 }
 
 /// Gives back what lenders want, what is not needed any more, and what lapsed and has come free.
-void Pool::returnSurplus(Instant now) {
-  const bool lapsed = std::any_of(mates_.begin(), mates_.end(), [&](const Mate& mate) {
+void LeasedBudget::returnSurplus(Instant now) {
+  const bool lapsed = std::any_of(peers_.begin(), peers_.end(), [&](const ZonePeer& mate) {
     return mate.loanUntil <= now && std::any_of(mate.loan.begin(), mate.loan.end(), [](int one) { return one > 0; });
   });
-  const bool pressed = std::any_of(mates_.begin(), mates_.end(), [](const Mate& mate) { return mate.pressed; });
+  const bool pressed = std::any_of(peers_.begin(), peers_.end(), [](const ZonePeer& mate) { return mate.pressed; });
   for (std::size_t unit = 0; unit < size(); ++unit) {
     const bool guarantee = unit > kinds_.size();
     int all = std::max(0, capacity(now, unit));
@@ -291,7 +292,7 @@
     int surplus = all - needed(now, unit, false), close = all - needed(now, unit, true);
     int over = guarantee ? 0 : std::max(0, -idle);
     if (surplus <= 0 && (close <= 0 || !pressed) && sums_.recalled[unit] == 0 && over == 0 && !lapsed) continue;
-    for (Mate& mate : mates_) {
+    for (ZonePeer& mate : peers_) {
       int& loan = mate.loan[unit];
       if (loan == 0) continue;
       int back = 0;
@@ -318,7 +319,7 @@
 
 // ---- Lending
 
-void Pool::grant(Instant now, Mate& mate, const Units& asks) {
+void LeasedBudget::grant(Instant now, ZonePeer& mate, const Units& asks) {
   const std::size_t services = kinds_.size();
   addUp(now);
   Units more = none();
@@ -346,7 +347,7 @@
   mate.wanted = true;
 }
 
-bool Pool::hear(Instant now, const Word& word) {
+bool LeasedBudget::hear(Instant now, const LeaseMessage& word) {
   if (word.zone != towards_ || !budget_) return false;
   for (const Units* units : {&word.granted, &word.spare, &word.recalled, &word.holds, &word.asks}) {
     if (units->size() != size()) return false;
@@ -354,9 +355,10 @@
       if (one < 0 || one > 1000000) return false;
     }
   }
-  const auto it = std::find_if(mates_.begin(), mates_.end(), [&](const Mate& one) { return one.place == word.from; });
-  if (it == mates_.end()) return false;
-  Mate& mate = *it;
+  const auto it =
+      std::find_if(peers_.begin(), peers_.end(), [&](const ZonePeer& one) { return one.place == word.from; });
+  if (it == peers_.end()) return false;
+  ZonePeer& mate = *it;
   count(now);
   stale_ = true;
   if (word.mark != mate.mark) {
@@ -420,13 +422,13 @@
 }
 
 /// The owner has the first claim: what it needs, and has not, it wants back from each mate in turn.
-void Pool::wantBack(Instant now) {
+void LeasedBudget::wantBack(Instant now) {
   const std::size_t services = kinds_.size();
   for (std::size_t unit = size(); unit-- > 0;) {
     int missing = waiting_ ? 0 : std::max(0, needed(now, unit, true) - ownLeft(unit));
     // Lending has been switched off.
     if (budget_->dividing != Dividing::lent) missing = sums_.lent[unit];
-    for (Mate& mate : mates_) {
+    for (ZonePeer& mate : peers_) {
       int most = mate.writtenOff || now - mate.heardAt > spans_.word * 3.0 ? 0 : mate.lent[unit];
       // Not the circuits that a lent guarantee stands for: whatever floods here has no claim on those.
       for (std::size_t i = 0; unit == 0 && i < services; ++i) {
@@ -440,8 +442,8 @@
   }
 }
 
-Word Pool::wordTo(Instant now, Mate& mate) {
-  Word word;
+LeaseMessage LeasedBudget::wordTo(Instant now, ZonePeer& mate) {
+  LeaseMessage word;
   word.from = place_;
   word.zone = towards_;
   word.mark = mark_;
@@ -465,8 +467,8 @@
   return word;
 }
 
-std::vector<std::pair<int, Word>> Pool::speak(Instant now) {
-  std::vector<std::pair<int, Word>> words;
+std::vector<std::pair<int, LeaseMessage>> LeasedBudget::speak(Instant now) {
+  std::vector<std::pair<int, LeaseMessage>> words;
   endWait(now);
   if (!talks()) {
     // The last of earlier loans may just have come back.
@@ -477,11 +479,11 @@
   count(now);
   // This office stood still and could hear nobody: silence begins with now.
   if (now - ranAt_ > spans_.word * 3.0) {
-    for (Mate& mate : mates_) mate.lentUntil = std::max(mate.lentUntil, now);
+    for (ZonePeer& mate : peers_) mate.lentUntil = std::max(mate.lentUntil, now);
   }
   ranAt_ = now;
   settleAt_ = Instant::never();
-  for (Mate& mate : mates_) {
+  for (ZonePeer& mate : peers_) {
     if (mate.ghostUntil <= now && mate.ghostUntil != Instant()) {
       mate.ghost = none();
       mate.ghostUntil = Instant();
@@ -498,14 +500,14 @@
   ask(now);
   bounds(now);
   wantBack(now);
-  const bool unmet = std::any_of(mates_.begin(), mates_.end(), [&](const Mate& mate) {
+  const bool unmet = std::any_of(peers_.begin(), peers_.end(), [&](const ZonePeer& mate) {
     return mate.unmet && now - mate.heardAt < spans_.word * 3.0;
   });
   if (unmet && !pressed_) {
-    for (Mate& mate : mates_) mate.wanted = mate.wanted || mate.lent[0] > 0;
+    for (ZonePeer& mate : peers_) mate.wanted = mate.wanted || mate.lent[0] > 0;
   }
   pressed_ = unmet;
-  for (Mate& mate : mates_) {
+  for (ZonePeer& mate : peers_) {
     const Span since = now - mate.spokenAt;
     if (since < spans_.soonest || (!mate.wanted && since < spans_.word)) continue;
     if (words.empty()) lastSent_ = std::max(lastSent_ + 1, microseconds(now));
@@ -514,7 +516,7 @@
   return words;
 }
 
-Instant Pool::nextDue() const {
+Instant LeasedBudget::nextDue() const {
   if (settleAt_ != Instant::never()) return settleAt_;
   Instant due = Instant::never();
   // Once settled it waits for a word, or for the term to end; with a mate that is silent, due at once would be due for
@@ -523,7 +525,7 @@
     due = ranAt_ < started_ + spans_.settle ? started_ + spans_.settle
                                             : started_ + spans_.term * (1 + spans_.drift) + kGrain;
   if (!talks()) return due;
-  for (const Mate& mate : mates_) due = std::min(due, mate.spokenAt + (mate.wanted ? spans_.soonest : spans_.word));
+  for (const ZonePeer& mate : peers_) due = std::min(due, mate.spokenAt + (mate.wanted ? spans_.soonest : spans_.word));
   return due;
 }
 
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -23,7 +23,7 @@
 
 /// What one office of a zone tells another about one budget. Each word holds the whole state between the two, so
 /// that any may be lost, doubled or overtaken by a later one.
-struct Word {
+struct LeaseMessage {
   int from = 0;            // place of the sender
   int zone = 0;            // where the budget leads to
   std::uint64_t mark = 0;  // when the sender was started, on its own clock
@@ -57,11 +57,12 @@
 };
 
 /// One office's part of one budget.
-class Pool {
+class LeasedBudget {
  public:
-  /// `place`: of this office; `zoneMates`: places of all offices of its zone, this one among them, in the fleet
+  /// `place`: of this office; `zonePeers`: places of all offices of its zone, this one among them, in the fleet
   /// file's order.
-  Pool(std::vector<Kind> kinds, int place, std::vector<int> zoneMates, int towards, Instant now, LeaseSpans spans = {});
+  LeasedBudget(std::vector<Kind> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
+               LeaseSpans spans = {});
 
   /// From now on. What stands, stands; what is lent is wanted back where the part has become less.
   void set(Instant now, const std::optional<Budget>& budget);
@@ -79,9 +80,9 @@
   void refused(Instant now, std::size_t service);
 
   /// A word that came in. False: from no mate, or malformed; nothing was changed.
-  bool hear(Instant now, const Word& word);
+  bool hear(Instant now, const LeaseMessage& word);
   /// What is to be said now, and to whom. Also settles what has lapsed.
-  std::vector<std::pair<int, Word>> speak(Instant now);
+  std::vector<std::pair<int, LeaseMessage>> speak(Instant now);
   Instant nextDue() const;
 
   /// For the module and reports.
@@ -104,7 +105,7 @@
   bool changed() { return std::exchange(changed_, false); }
 
  private:
-  struct Mate {
+  struct ZonePeer {
     int place = 0;
     std::uint64_t mark = 0;
     Instant heardAt = Instant::longAgo();
@@ -136,7 +137,7 @@
   void bounds(Instant now);
   void returnSurplus(Instant now);
   void ask(Instant now);
-  void grant(Instant now, Mate& mate, const Units& asks);
+  void grant(Instant now, ZonePeer& mate, const Units& asks);
   void wantBack(Instant now);
   void addUp(Instant now) const;
   int ownLeft(std::size_t unit) const { return waiting_ ? 0 : own_[unit] - sums_.lent[unit]; }
@@ -145,7 +146,7 @@
   int spareOf(Instant now, std::size_t unit) const;
   int heldOf(std::size_t unit) const;
   void count(Instant now);
-  Word wordTo(Instant now, Mate& mate);
+  LeaseMessage wordTo(Instant now, ZonePeer& mate);
 
   std::vector<Kind> kinds_;
   int place_, towards_;
@@ -157,7 +158,7 @@
   Part part_;
   Allowance allowance_;
   Units own_;
-  std::vector<Mate> mates_;
+  std::vector<ZonePeer> peers_;
   bool waiting_ = false;
   bool changed_ = false;
   // Demand: the most held, and how often there was no room, in the running third of the span and the two before it.
--- a/src/zones/lease_message.cpp
+++ b/src/zones/lease_message.cpp
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-std::string encode(const Word& word) {
+std::string encode(const LeaseMessage& word) {
   std::ostringstream out;
-  out << kWordBegins << "from " << word.from << " zone " << word.zone << " mark " << word.mark << " sent " << word.sent
-      << " heard " << word.heard << " serial " << word.serial << " seen " << word.seen << " pressed " << word.pressed
-      << '\n';
+  out << kLeaseMessageHeader << "from " << word.from << " zone " << word.zone << " mark " << word.mark << " sent "
+      << word.sent << " heard " << word.heard << " serial " << word.serial << " seen " << word.seen << " pressed "
+      << word.pressed << '\n';
   line(out, "granted", word.granted);
   line(out, "spare", word.spare);
   line(out, "recalled", word.recalled);
@@ -43,11 +43,11 @@
   return out.str();
 }
 
-std::optional<Word> decodeWord(std::span<const std::uint8_t> datagram) {
+std::optional<LeaseMessage> decodeLeaseMessage(std::span<const std::uint8_t> datagram) {
   const std::string text(datagram.begin(), datagram.end());
-  if (!text.starts_with(kWordBegins)) return std::nullopt;
-  std::istringstream in(text.substr(kWordBegins.size()));
-  Word word;
+  if (!text.starts_with(kLeaseMessageHeader)) return std::nullopt;
+  std::istringstream in(text.substr(kLeaseMessageHeader.size()));
+  LeaseMessage word;
   std::string head, from, zone, mark, sent, heard, serial, seen, pressed, rest;
   if (!std::getline(in, head)) return std::nullopt;
   std::istringstream line(head);
--- a/src/zones/lease_message.hpp
+++ b/src/zones/lease_message.hpp
@@ -11,10 +11,10 @@
 
 namespace thistlefold::zones {
 
-inline constexpr std::string_view kWordBegins = "thistlefold lease 1\n";
+inline constexpr std::string_view kLeaseMessageHeader = "thistlefold lease 1\n";
 
-std::string encode(const Word& word);
+std::string encode(const LeaseMessage& word);
 /// Nothing if the datagram is no word, was cut short, or a line of it can't be read.
-std::optional<Word> decodeWord(std::span<const std::uint8_t> datagram);
+std::optional<LeaseMessage> decodeLeaseMessage(std::span<const std::uint8_t> datagram);
 
 }  // namespace thistlefold::zones
--- a/src/zones/ledger.cpp
+++ b/src/zones/ledger.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Sums& Sums::operator+=(const Sums& other) {
+UsageTotals& UsageTotals::operator+=(const UsageTotals& other) {
   invites += other.invites;
   stood += other.stood;
   cut += other.cut;
@@ -25,58 +25,59 @@
 // Each change goes to all levels at once. Rolling seconds up into minutes when they close would save two additions and
 // lose what a level already dropped.
 template <typename Change>
-void Cell::add(std::uint64_t at, Change change) {
+void UsageCell::add(std::uint64_t at, Change change) {
   change(total_);
-  if (Sums* bucket = seconds_.at(at / kSecond)) change(*bucket);
-  if (Sums* bucket = minutes_.at(at / kMinute)) change(*bucket);
-  if (Sums* bucket = hours_.at(at / kHour)) change(*bucket);
+  if (UsageTotals* bucket = seconds_.at(at / kSecond)) change(*bucket);
+  if (UsageTotals* bucket = minutes_.at(at / kMinute)) change(*bucket);
+  if (UsageTotals* bucket = hours_.at(at / kHour)) change(*bucket);
 }
 
-void Cell::settle(Instant now) {
+void UsageCell::settle(Instant now) {
   const std::uint64_t until = microseconds(now);
   // A clock that went back adds nothing and takes nothing away.
   while (settledAt_ < until) {
     // Nothing is held: nothing to add, whatever the time.
     const std::uint64_t end = held_ == 0 ? until : std::min(until, (settledAt_ / kSecond + 1) * kSecond);
     const std::uint64_t circuits = static_cast<std::uint64_t>(held_);
-    if (held_ > 0) add(settledAt_, [&](Sums& sums) { sums.circuitMicroseconds += circuits * (end - settledAt_); });
+    if (held_ > 0)
+      add(settledAt_, [&](UsageTotals& sums) { sums.circuitMicroseconds += circuits * (end - settledAt_); });
     settledAt_ = end;
   }
 }
 
-void Cell::invited(Instant now, int circuits) {
+void UsageCell::invited(Instant now, int circuits) {
   settle(now);
-  add(settledAt_, [](Sums& sums) { ++sums.invites; });
+  add(settledAt_, [](UsageTotals& sums) { ++sums.invites; });
   held_ += circuits;
 }
 
-void Cell::stood(Instant now) {
+void UsageCell::stood(Instant now) {
   settle(now);
-  add(settledAt_, [](Sums& sums) { ++sums.stood; });
+  add(settledAt_, [](UsageTotals& sums) { ++sums.stood; });
 }
 
-void Cell::cut(Instant now) {
+void UsageCell::cut(Instant now) {
   settle(now);
-  add(settledAt_, [](Sums& sums) { ++sums.cut; });
+  add(settledAt_, [](UsageTotals& sums) { ++sums.cut; });
 }
 
-void Cell::refused(Instant now) {
+void UsageCell::refused(Instant now) {
   settle(now);
-  add(settledAt_, [](Sums& sums) { ++sums.refused; });
+  add(settledAt_, [](UsageTotals& sums) { ++sums.refused; });
 }
 
-void Cell::released(Instant now, int circuits) {
+void UsageCell::released(Instant now, int circuits) {
   settle(now);
   held_ -= circuits;
 }
 
-Cell& Ledger::cell(const Key& key) {
+UsageCell& UsageLedger::cell(const Key& key) {
   auto& one = cells_[key];
-  if (one == nullptr) one = std::make_unique<Cell>();
+  if (one == nullptr) one = std::make_unique<UsageCell>();
   return *one;
 }
 
-void Ledger::settle(Instant now) {
+void UsageLedger::settle(Instant now) {
   for (auto& [key, cell] : cells_) cell->settle(now);
 }
 
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -14,18 +14,18 @@
 namespace thistlefold::zones {
 
 /// What a leg is to its session.
-enum class Way : std::uint8_t { direct, first, second };
+enum class LegKind : std::uint8_t { direct, first, second };
 
 /// Sums; all whole numbers, so that sums over any parts agree to the unit.
-struct Sums {
+struct UsageTotals {
   std::uint64_t invites = 0;
   std::uint64_t stood = 0;
   std::uint64_t cut = 0;
   std::uint64_t refused = 0;              // for want of budget; nothing was sent
   std::uint64_t circuitMicroseconds = 0;  // circuits held times how long
 
-  Sums& operator+=(const Sums& other);
-  friend bool operator==(const Sums&, const Sums&) = default;
+  UsageTotals& operator+=(const UsageTotals& other);
+  friend bool operator==(const UsageTotals&, const UsageTotals&) = default;
 };
 
 /// The last N spans of one length, in a ring. What has left the ring is gone from it, not from the totals.
@@ -33,27 +33,27 @@
 class Ring {
  public:
   /// The bucket of that number (time divided by the span's length); null for one that has left the ring.
-  Sums* at(std::uint64_t number) {
+  UsageTotals* at(std::uint64_t number) {
     if (number > newest_) {
       const std::uint64_t step = number - newest_;
-      for (std::uint64_t i = 0; i < std::min<std::uint64_t>(step, N); ++i) buckets_[(number - i) % N] = Sums();
+      for (std::uint64_t i = 0; i < std::min<std::uint64_t>(step, N); ++i) buckets_[(number - i) % N] = UsageTotals();
       newest_ = number;
     }
     return number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
-  const Sums* find(std::uint64_t number) const {
+  const UsageTotals* find(std::uint64_t number) const {
     return number > newest_ || number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
   static constexpr std::size_t room() { return N; }
 
  private:
-  std::array<Sums, N> buckets_{};
+  std::array<UsageTotals, N> buckets_{};
   std::uint64_t newest_ = 0;
 };
 
 /// The account of one kind of leg. Constant memory, some 23 kB: five minutes by second, four hours by minute, eight
 /// days by hour.
-class Cell {
+class UsageCell {
  public:
   void invited(Instant now, int circuits);
   void stood(Instant now);
@@ -63,7 +63,7 @@
   /// Brings the circuit time up to now. Called by all of the above; by a reader before it reads.
   void settle(Instant now);
 
-  const Sums& total() const { return total_; }
+  const UsageTotals& total() const { return total_; }
   int held() const { return held_; }
   const Ring<300>& seconds() const { return seconds_; }
   const Ring<240>& minutes() const { return minutes_; }
@@ -73,7 +73,7 @@
   template <typename Change>
   void add(std::uint64_t at, Change change);
 
-  Sums total_;
+  UsageTotals total_;
   Ring<300> seconds_;
   Ring<240> minutes_;
   Ring<192> hours_;
@@ -84,20 +84,20 @@
 struct Key {
   int from = 0, to = 0;  // zones
   int service = 0;
-  Way way = Way::direct;
+  LegKind way = LegKind::direct;
   friend auto operator<=>(const Key&, const Key&) = default;
 };
 
 /// All cells of an office. Cells are made when first used and stay where they are; there are at most zones x services
 /// x 3 of them, since an office sends from one zone.
-class Ledger {
+class UsageLedger {
  public:
-  Cell& cell(const Key& key);
-  const std::map<Key, std::unique_ptr<Cell>>& cells() const { return cells_; }
+  UsageCell& cell(const Key& key);
+  const std::map<Key, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
   void settle(Instant now);
 
  private:
-  std::map<Key, std::unique_ptr<Cell>> cells_;
+  std::map<Key, std::unique_ptr<UsageCell>> cells_;
 };
 
 }  // namespace thistlefold::zones
--- a/src/zones/peer_usage.cpp
+++ b/src/zones/peer_usage.cpp
@@ -2,19 +2,19 @@
 
 namespace thistlefold::zones {
 
-void Mirrors::started(int office, std::uint64_t mark) {
-  Mirror& mirror = mirrors_[office];
+void PeerUsage::started(int office, std::uint64_t mark) {
+  UsageReplica& replica = replicas_[office];
   // A word of an earlier start that was late on its way changes nothing.
-  if (mark <= mirror.mark) return;
-  for (const auto& [key, sums] : mirror.sums) inherited_[key] += sums;
-  mirror.sums.clear();
-  mirror.mark = mark;
+  if (mark <= replica.mark) return;
+  for (const auto& [key, sums] : replica.sums) inherited_[key] += sums;
+  replica.sums.clear();
+  replica.mark = mark;
 }
 
-Sums& Mirrors::of(int office, std::uint64_t mark, const Key& key) {
+UsageTotals& PeerUsage::of(int office, std::uint64_t mark, const Key& key) {
   started(office, mark);
-  Mirror& mirror = mirrors_[office];
-  return mark == mirror.mark ? mirror.sums[key] : inherited_[key];
+  UsageReplica& replica = replicas_[office];
+  return mark == replica.mark ? replica.sums[key] : inherited_[key];
 }
 
 }  // namespace thistlefold::zones
--- a/tests/cold_fleet.cpp
+++ b/tests/cold_fleet.cpp
@@ -41,7 +41,7 @@
   double lot() { return std::generate_canonical<double, 32>(chance_); }
 
   Town town;
-  OfficeData data;
+  OfficeConfig data;
   Instant now = Instant::ms(1000);
   std::vector<std::unique_ptr<Office>> offices;
   std::vector<double> rates;
@@ -51,12 +51,13 @@
   Seen seen;
   void reached(int from, int to) {
     if (from != 0 && to != 0) return;
-    if (now < startedAt || now - startedAt >= data.warmAfter) return;
+    if (now < startedAt || now - startedAt >= data.warmUpTime) return;
     sent.push_back(now);
-    while (now - sent.front() > data.tipAfter) sent.pop_front();
+    while (now - sent.front() > data.overloadWindow) sent.pop_front();
     // What it can do grows while it warms, as the other judges of these rules have it.
-    const double age = (now - startedAt) / data.warmAfter;
-    const double may = seen.allowed * (data.coldFrom + (1 - data.coldFrom) * age) / data.coldFrom;
+    const double age = (now - startedAt) / data.warmUpTime;
+    const double may =
+        seen.allowed * (data.coldCapacityShare + (1 - data.coldCapacityShare) * age) / data.coldCapacityShare;
     seen.over = std::max(seen.over, static_cast<double>(sent.size()) - (may + 2 * std::sqrt(may) + 2));
   }
 
@@ -64,24 +65,24 @@
   std::mt19937 chance_;
 };
 
-class Office final : public Arrivals, public Writer {
+class Office final : public RoundEvents, public DecisionSink {
  public:
   Office(Fleet& of, int here)
-      : of_(&of), here_(here), controller_(openOffice(of.data, of.town.seed * 1000 + static_cast<unsigned>(here))) {
+      : of_(&of), here_(here), controller_(makeController(of.data, of.town.seed * 1000 + static_cast<unsigned>(here))) {
     exchanges_.resize(static_cast<std::size_t>(of.town.offices));
     for (int i = 0; i < of.town.offices; ++i) {
       Exchange& one = exchanges_[static_cast<std::size_t>(i)];
       one.place = i;
       one.own = i == here;
       events.push_back([&one](Controller& to) {
-        to.listed(one, Readiness::ready, Instant::longAgo());
-        to.circuits(one, 1000, 1000);
+        to.exchangeListed(one, Readiness::ready, Instant::longAgo());
+        to.circuitsChanged(one, 1000, 1000);
       });
     }
   }
   void starts(int place, Instant at) {
     Exchange& one = exchanges_[static_cast<std::size_t>(place)];
-    events.push_back([&one, at](Controller& to) { to.listed(one, Readiness::ready, at); });
+    events.push_back([&one, at](Controller& to) { to.exchangeListed(one, Readiness::ready, at); });
   }
   void dial(int to, int redials, std::uint64_t number, bool first) {
     sessions_.push_back(std::make_unique<Dialled>());
@@ -91,9 +92,9 @@
     one.timerLimit = of_->now + Span::ms(3000);
     one.dialledNumber = number;
     one.redials = redials;
-    one.counted = first && to == 0 && of_->now >= of_->startedAt && of_->now - of_->startedAt < of_->data.warmAfter;
+    one.counted = first && to == 0 && of_->now >= of_->startedAt && of_->now - of_->startedAt < of_->data.warmUpTime;
     of_->seen.dialled += one.counted;
-    events.push_back([&one](Controller& controller) { controller.incoming(one); });
+    events.push_back([&one](Controller& controller) { controller.sessionArrived(one); });
   }
   void round() {
     if (events.empty() && wakeAt_ > of_->now) return;
@@ -112,15 +113,16 @@
     const Instant sentAt = of_->now;
     of_->later.emplace(of_->now + Span::ms(60), [this, &one, &at, sentAt] {
       of_->seen.stood += one.counted;
-      events.push_back([this, &one, sentAt](Controller& controller) { controller.accepted(one, of_->now - sentAt); });
+      events.push_back(
+          [this, &one, sentAt](Controller& controller) { controller.inviteAccepted(one, of_->now - sentAt); });
       of_->later.emplace(of_->now + Span::ms(2000), [this, &one, &at] {
         events.push_back([&one, &at](Controller& controller) {
-          controller.ended(one, at, Ending::ok, Reason::none, false, Span::none(), true);
+          controller.inviteEnded(one, at, InviteOutcome::released, BlockingReason::none, false, Span::none(), true);
         });
       });
     });
   }
-  void busy(const Session& session, Span retryAfter) override {
+  void rejectBusy(const Session& session, Span retryAfter) override {
     const auto& one = static_cast<const Dialled&>(session);
     if (one.redials == 0) return;
     // What stands in the end counts for the first try.
@@ -131,8 +133,8 @@
                          sessions_.back()->counted = counted;
                        });
   }
-  void surrender(const Session&) override {}
-  void wakeIn(Span delay) override { wakeAt_ = of_->now + delay; }
+  void failUncertain(const Session&) override {}
+  void scheduleWakeUp(Span delay) override { wakeAt_ = of_->now + delay; }
   void subscribe() override {}
 
   std::vector<std::function<void(Controller&)>> events;
@@ -159,14 +161,14 @@
   service.meanHold = Span::ms(10000);
   data.services = {service};
   data.maxInvites = 6;
-  data.offices = of.offices;
-  data.takesRetryAfter = true;
+  data.fleetSize = of.offices;
+  data.honoursRetryAfter = true;
   data.longestRetryAfter = Span::ms(2000);
-  data.clearWait = Span::ms(300);
-  data.coldFrom = 0.3;
-  data.warmAfter = Span::ms(15000);
-  data.fallMultiple = 3;
-  data.tipAfter = Span::ms(1500);
+  data.releaseTime = Span::ms(300);
+  data.coldCapacityShare = 0.3;
+  data.warmUpTime = Span::ms(15000);
+  data.overloadFactor = 3;
+  data.overloadWindow = Span::ms(1500);
   for (int i = 0; i < town.offices; ++i) {
     // One in five dials six times as much as the others; in the mean it is the same.
     const double part = !town.uneven ? 1 : town.offices < 5 ? 0.5 + 0.5 * i : i % 5 == 1 ? 3.0 : 0.5;
@@ -182,10 +184,10 @@
   double usual = rates[0];
   for (std::size_t i = 1; i < rates.size(); ++i) usual += rates[i] / others;
   // Planned to be busy three quarters of its time.
-  seen.allowed = data.fallMultiple * data.coldFrom * usual / 0.75 * data.tipAfter.ms() / 1000;
+  seen.allowed = data.overloadFactor * data.coldCapacityShare * usual / 0.75 * data.overloadWindow.ms() / 1000;
   for (int i = 0; i < town.offices; ++i) offices.push_back(std::make_unique<Office>(*this, i));
   bool told = false;
-  const Instant end = startedAt + data.warmAfter;
+  const Instant end = startedAt + data.warmUpTime;
   for (std::uint64_t number = 1; now < end; now = now + Span::ms(5)) {
     if (!told && now >= startedAt) {
       told = true;
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -3,97 +3,97 @@
 #include "fleet_fixture.hpp"
 
 using namespace thistlefold;
-using test::reckless;
+using test::FleetFixture;
+using test::rogueController;
 using test::smallFleet;
-using test::Telephone;
-using test::Town;
+using test::TestPhone;
 
 namespace {
 
-audit::Findings play(Town& town, const std::function<void(Telephone&)>& what) {
-  town.open();
-  Telephone phone(99);
-  town.stage().place(day::kCallers, phone);
-  town.note("begin");
+audit::Findings play(FleetFixture& fixture, const std::function<void(TestPhone&)>& what) {
+  fixture.open();
+  TestPhone phone(99);
+  fixture.testbed().place(day::kCallers, phone);
+  fixture.note("begin");
   what(phone);
-  town.run(12000);
-  const audit::Findings findings = town.findings();
-  town.stage().remove(day::kCallers);
-  town.run(10);
+  fixture.run(12000);
+  const audit::Findings findings = fixture.findings();
+  fixture.testbed().remove(day::kCallers);
+  fixture.run(10);
   return findings;
 }
 
-void dial(Town& town, Telephone& phone, int office, const std::string& number) {
-  phone.dial(town.now(), town.office(office), number);
-  town.stage().nudge(day::kCallers);
+void dial(FleetFixture& fixture, TestPhone& phone, int office, const std::string& number) {
+  phone.dial(fixture.now(), fixture.office(office), number);
+  fixture.testbed().wakeUp(day::kCallers);
 }
 
 }  // namespace
 
 TEST_CASE("rule 1: a controller that answers nobody") {
-  Town town(smallFleet(2, 10), reckless({false, true}), "rule1");
-  const auto findings = play(town, [&](Telephone& phone) {
-    iax2::Call* call = phone.dial(town.now(), town.office(0), "210001");
-    town.stage().nudge(day::kCallers);
-    town.run(3000);  // the caller's limit
-    phone.endpoint().hangUp(town.now(), *call, iax2::Iax::HANGUP, {});
-    town.stage().nudge(day::kCallers);
+  FleetFixture fixture(smallFleet(2, 10), rogueController({false, true}), "rule1");
+  const auto findings = play(fixture, [&](TestPhone& phone) {
+    iax2::Call* call = phone.dial(fixture.now(), fixture.office(0), "210001");
+    fixture.testbed().wakeUp(day::kCallers);
+    fixture.run(3000);  // the caller's limit
+    phone.endpoint().hangUp(fixture.now(), *call, iax2::Iax::HANGUP, {});
+    fixture.testbed().wakeUp(day::kCallers);
   });
   CHECK(findings.broken[1] == 1);
   CHECK(findings.unanswered == 1);
   CHECK_FALSE(findings.kept());
-  REQUIRE(findings.breaches.size() == 1);
-  CHECK(findings.breaches[0].text.find("office e1") != std::string::npos);
+  REQUIRE(findings.violations.size() == 1);
+  CHECK(findings.violations[0].text.find("office e1") != std::string::npos);
 }
 
 TEST_CASE("rule 2: a controller with two INVITEs out") {
-  Town town(smallFleet(2, 10), reckless({true, false}), "rule2");
-  const auto findings = play(town, [&](Telephone& phone) { dial(town, phone, 0, "210001"); });
+  FleetFixture fixture(smallFleet(2, 10), rogueController({true, false}), "rule2");
+  const auto findings = play(fixture, [&](TestPhone& phone) { dial(fixture, phone, 0, "210001"); });
   CHECK(findings.broken[2] >= 1);
-  REQUIRE_FALSE(findings.breaches.empty());
-  CHECK(findings.breaches[0].rule == 2);
-  CHECK(findings.breaches[0].session != 0);
-  CHECK(findings.breaches[0].atMs < 100);
+  REQUIRE_FALSE(findings.violations.empty());
+  CHECK(findings.violations[0].rule == 2);
+  CHECK(findings.violations[0].session != 0);
+  CHECK(findings.violations[0].atMs < 100);
 }
 
 TEST_CASE("rule 3: a controller that sends to a drained exchange") {
-  Town town(smallFleet(2, 10), reckless(), "rule3");
-  const auto findings = play(town, [&](Telephone& phone) {
-    town.learns(1, Readiness::draining, town.at(1).mark());
-    town.run(400);  // within the grace
-    dial(town, phone, 0, "210001");
-    town.run(1000);
-    dial(town, phone, 0, "210002");
+  FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule3");
+  const auto findings = play(fixture, [&](TestPhone& phone) {
+    fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+    fixture.run(400);  // within the grace
+    dial(fixture, phone, 0, "210001");
+    fixture.run(1000);
+    dial(fixture, phone, 0, "210002");
   });
   CHECK(findings.broken[3] > 0);
-  CHECK(findings.breaches[0].rule == 3);
-  CHECK(findings.breaches[0].atMs > 500);
+  CHECK(findings.violations[0].rule == 3);
+  CHECK(findings.violations[0].atMs > 500);
 }
 
 TEST_CASE("rule 4: a controller that rushes a cold exchange") {
-  Town town(smallFleet(2, 300), reckless(), "rule4");
-  const auto findings = play(town, [&](Telephone& phone) {
-    town.exchange(1, false);
+  FleetFixture fixture(smallFleet(2, 300), rogueController(), "rule4");
+  const auto findings = play(fixture, [&](TestPhone& phone) {
+    fixture.exchange(1, false);
     // 100 set-ups a second when warm, a third of that now: 150 within a second are more than three times as many.
     for (int i = 0; i < 170; ++i) {
-      dial(town, phone, 0, "21" + std::to_string(1000 + i));
-      town.run(5);
+      dial(fixture, phone, 0, "21" + std::to_string(1000 + i));
+      fixture.run(5);
     }
   });
   CHECK(findings.broken[4] > 0);
   CHECK(findings.nearestToCold > 1);
-  CHECK(town.at(1).fallen());
+  CHECK(fixture.at(1).fallen());
 }
 
 TEST_CASE("rule 5: a controller that does not await the release") {
-  Town town(smallFleet(2, 10), reckless(), "rule5");
-  const auto findings = play(town, [&](Telephone& phone) {
-    town.at(1).hang(town.now(), true);  // INVITEs time out after 400 ms and are sent again at once
-    dial(town, phone, 0, "210001");
+  FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule5");
+  const auto findings = play(fixture, [&](TestPhone& phone) {
+    fixture.at(1).hang(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
+    dial(fixture, phone, 0, "210001");
   });
   CHECK(findings.broken[5] > 0);
-  CHECK(findings.breaches[0].rule == 5);
-  CHECK(findings.breaches[0].text.find("again 0 ms") != std::string::npos);
+  CHECK(findings.violations[0].rule == 5);
+  CHECK(findings.violations[0].text.find("again 0 ms") != std::string::npos);
 }
 
 TEST_CASE("a capture reads back what was written, and a torn one is named") {
--- a/tests/program/clock.cpp
+++ b/tests/program/clock.cpp
@@ -20,18 +20,18 @@
   const double day =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
   CHECK(std::abs((clock->now() - Instant()).ms() - day) < 1000);
-  const auto alarm = clock->alarm();
+  const auto timer = clock->timer();
   const Instant set = clock->now();
-  Instant rung = Instant::longAgo();
-  alarm->set(set + Span::ms(20));
+  Instant firedAt = Instant::longAgo();
+  timer->set(set + Span::ms(20));
   boost::asio::co_spawn(
       context,
       [&]() -> boost::asio::awaitable<void> {
-        co_await alarm->rung();
-        rung = clock->now();
+        co_await timer->asyncWait();
+        firedAt = clock->now();
       },
       boost::asio::detached);
   context.run();
-  CHECK(rung - set >= Span::ms(20));
-  CHECK(rung - set < Span::ms(5000));
+  CHECK(firedAt - set >= Span::ms(20));
+  CHECK(firedAt - set < Span::ms(5000));
 }
--- a/tests/program/days.cpp
+++ b/tests/program/days.cpp
@@ -21,8 +21,8 @@
 }
 
 day::Report play(const day::DayPlan& plan) {
-  const auto stage = day::virtualStage(plan.fleet);
-  return day::play(plan, *stage, capturePath());
+  const auto testbed = day::virtualTestbed(plan.fleet);
+  return day::play(plan, *testbed, capturePath());
 }
 
 std::string contents(const std::string& path) {
@@ -90,7 +90,7 @@
   CHECK(day.plan.fleet.places[1].setUpsASecond == doctest::Approx(50));
   // 85 erlangs at half load and half scale, 1.5 circuits for a second each.
   CHECK(day.plan.rate == doctest::Approx(0.25 * 85 / 1.5));
-  CHECK(day.plan.troubles.size() == 1 + 2);  // two stalls of 0.7 s, half a second apart
+  CHECK(day.plan.faults.size() == 1 + 2);  // two stalls of 0.7 s, half a second apart
   CHECK(std::any_of(day.left.begin(), day.left.end(),
                     [](const std::string& one) { return one.starts_with("trouble retry_abuse"); }));
   CHECK(std::any_of(day.left.begin(), day.left.end(),
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -23,7 +23,7 @@
 
 inline Fleet smallFleet(int places, int circuits) {
   Fleet fleet;
-  fleet.offers = {{"call", 1}, {"wide", 4}};
+  fleet.offeredServices = {{"call", 1}, {"wide", 4}};
   Service service;
   service.value = 1;
   service.lateValue = 0.25;
@@ -32,13 +32,13 @@
   service.meanHold = Span::ms(3000);
   fleet.data.services = {service, service};
   fleet.data.maxInvites = 6;
-  fleet.data.takesRetryAfter = true;
+  fleet.data.honoursRetryAfter = true;
   fleet.data.longestRetryAfter = Span::ms(2000);
-  fleet.data.clearWait = Span::ms(300);
-  fleet.data.coldFrom = 0.3;
-  fleet.data.warmAfter = Span::ms(8000);
-  fleet.data.fallMultiple = 3;
-  fleet.data.tipAfter = Span::ms(1500);
+  fleet.data.releaseTime = Span::ms(300);
+  fleet.data.coldCapacityShare = 0.3;
+  fleet.data.warmUpTime = Span::ms(8000);
+  fleet.data.overloadFactor = 3;
+  fleet.data.overloadWindow = Span::ms(1500);
   for (int i = 0; i < places; ++i) {
     Place place;
     place.name = "e" + std::to_string(i + 1);
@@ -52,9 +52,9 @@
 }
 
 /// What a test dials and answers with. Remembers all it hears.
-class Telephone final : public Station, private iax2::Door, private iax2::CallOwner {
+class TestPhone final : public DatagramHandler, private iax2::CallListener, private iax2::CallOwner {
  public:
-  explicit Telephone(std::uint64_t seed) : endpoint_(*this, seed) {}
+  explicit TestPhone(std::uint64_t seed) : endpoint_(*this, seed) {}
 
   iax2::Call* dial(Instant now, iax2::Address to, const std::string& number, Span limit = Span::ms(3000),
                    const std::string& service = "call") {
@@ -67,15 +67,15 @@
     if (call != nullptr) dialled.push_back(call);
     return call;
   }
-  void take(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
     now_ = now;
     endpoint_.receive(now, from, datagram);
   }
-  void turn(Instant now, const Outlet& out) override {
+  void process(Instant now, const DatagramSender& out) override {
     endpoint_.expire(now);
     endpoint_.flush(now, out);
   }
-  Instant nextTurn() const override { return endpoint_.nextDue(); }
+  Instant nextDeadline() const override { return endpoint_.nextDue(); }
   iax2::Endpoint& endpoint() { return endpoint_; }
 
   int count(const std::string& name) const {
@@ -87,28 +87,28 @@
   std::deque<iax2::Call*> dialled;  // from here, and not over yet
   std::uint64_t lastSession = 0;
   std::uint8_t lastCause = 0;
-  iax2::Gone lastGone = iax2::Gone::finished;
+  iax2::CallEnd lastGone = iax2::CallEnd::finished;
   int goneCount = 0;
 
  private:
-  void opened(iax2::Call& call, const iax2::Frame& frame) override {
+  void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override {
     ++heard_["NEW"];
     lastSession = frame.elements.session.value_or(0);
-    call.belongTo(this);
+    call.setOwner(this);
     calls.push_back(&call);
   }
-  void heard(iax2::Call&, const iax2::Frame& frame) override {
+  void onFrame(iax2::Call&, const iax2::Frame& frame) override {
     ++heard_[iax2::name(frame)];
     if (frame.elements.causeCode) lastCause = *frame.elements.causeCode;
   }
-  void gone(iax2::Call& call, iax2::Gone how) override {
+  void onCallEnded(iax2::Call& call, iax2::CallEnd how) override {
     std::erase(calls, &call);
     std::erase(dialled, &call);
     lastGone = how;
     ++goneCount;
   }
-  void ponged(iax2::Address, const iax2::Frame&) override { ++heard_["PONG"]; }
-  iax2::Elements greeting(iax2::Address) override { return {}; }
+  void onPong(iax2::Address, const iax2::Frame&) override { ++heard_["PONG"]; }
+  iax2::Elements pongElements(iax2::Address) override { return {}; }
 
   iax2::Endpoint endpoint_;
   Instant now_;
@@ -116,76 +116,78 @@
 };
 
 /// A fleet on the virtual stage with a directory, exchanges, and a capture that is audited at the end.
-class Town {
+class FleetFixture {
  public:
-  explicit Town(Fleet fleet, MakeController make = openOffice, const std::string& capture = "town")
+  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& capture = "town")
       : path_((std::filesystem::temp_directory_path() /
                ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng"))
                   .string()),
-        stage_(day::virtualStage(std::move(fleet), std::move(make))),
+        testbed_(day::virtualTestbed(std::move(fleet), std::move(make))),
         capture_(path_),
-        directory_(offices(), stage_->fleet().places.size(), stage_->now()) {
-    stage_->tap(
+        directory_(offices(), testbed_->fleet().places.size(), testbed_->now()) {
+    testbed_->setTap(
         [this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes, bool delivered) {
           capture_.write({at, delivered, from, to, bytes});
         });
-    stage_->fate([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
-      return fate ? fate(from, to, bytes) : std::vector<Span>{Span::ms(5)};
+    testbed_->setImpairment([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+      return impairment ? impairment(from, to, bytes) : std::vector<Span>{Span::ms(5)};
     });
-    for (std::size_t i = 0; i < stage_->fleet().places.size(); ++i) exchanges_.push_back(nullptr);
+    for (std::size_t i = 0; i < testbed_->fleet().places.size(); ++i) exchanges_.push_back(nullptr);
   }
-  ~Town() {
-    for (std::size_t i = 0; i < exchanges_.size(); ++i) stage_->remove(day::processorIdentity(static_cast<int>(i)));
-    stage_->remove(day::kDirectory);
-    stage_->remove(day::kCallers);
-    stage_->runUntil(stage_->now() + Span::ms(20));
+  ~FleetFixture() {
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->remove(day::processorIdentity(static_cast<int>(i)));
+    testbed_->remove(day::kDirectory);
+    testbed_->remove(day::kCallers);
+    testbed_->runUntil(testbed_->now() + Span::ms(20));
     std::filesystem::remove(path_);
   }
 
   void open(bool withDirectory = true) {
-    if (withDirectory) stage_->place(day::kDirectory, directory_);
+    if (withDirectory) testbed_->place(day::kDirectory, directory_);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) exchange(static_cast<int>(i), true);
-    for (std::size_t i = 0; i < exchanges_.size(); ++i) stage_->startOffice(static_cast<int>(i), 7 + i);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
     run(1500);
   }
-  ExchangeStandIn& exchange(int place, bool warm) {
+  SimulatedExchange& exchange(int place, bool warm) {
     auto& at = exchanges_[static_cast<std::size_t>(place)];
     if (at != nullptr) {
-      stage_->remove(day::processorIdentity(place));
+      testbed_->remove(day::processorIdentity(place));
       run(5);
-      note("processor-started " + stage_->fleet().places[static_cast<std::size_t>(place)].name);
+      note("processor-started " + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
     }
     ProcessorModel model;
     model.setUpWork = 10;
     model.followWork = 3.5;
     model.turnAwayWork = 2;
-    model.coldFrom = 0.3;
-    model.warmAfter = Span::ms(8000);
-    at = std::make_unique<ExchangeStandIn>(model, 5 + static_cast<std::uint64_t>(place), stage_->now(), warm);
-    stage_->place(day::processorIdentity(place), *at);
+    model.coldCapacityShare = 0.3;
+    model.warmUpTime = Span::ms(8000);
+    at = std::make_unique<SimulatedExchange>(model, 5 + static_cast<std::uint64_t>(place), testbed_->now(), warm);
+    testbed_->place(day::processorIdentity(place), *at);
     return *at;
   }
-  ExchangeStandIn& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
-  DirectoryStandIn& directory() { return directory_; }
+  SimulatedExchange& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
+  SimulatedDirectory& directory() { return directory_; }
   void learns(int place, Readiness readiness, std::uint64_t mark) {
-    directory_.learns(stage_->now(), place, readiness, mark, Span::none());
-    stage_->nudge(day::kDirectory);
+    directory_.learns(testbed_->now(), place, readiness, mark, Span::none());
+    testbed_->wakeUp(day::kDirectory);
   }
-  day::Stage& stage() { return *stage_; }
-  Instant now() const { return stage_->now(); }
-  void run(double ms) { stage_->runUntil(stage_->now() + Span::ms(ms)); }
-  void note(const std::string& text) { capture_.note(stage_->now(), text); }
+  day::Testbed& testbed() { return *testbed_; }
+  Instant now() const { return testbed_->now(); }
+  void run(double ms) { testbed_->runUntil(testbed_->now() + Span::ms(ms)); }
+  void note(const std::string& text) { capture_.note(testbed_->now(), text); }
   void freeze(int place, bool frozen) {
-    note((frozen ? "freeze " : "thaw ") + stage_->fleet().places[static_cast<std::size_t>(place)].name);
-    stage_->freezeOffice(place, frozen);
+    note((frozen ? "freeze " : "thaw ") + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
+    testbed_->freezeOffice(place, frozen);
   }
-  iax2::Address office(int place) const { return stage_->fleet().places[static_cast<std::size_t>(place)].office; }
+  iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
   /// What `field` of an office's account says.
   std::int64_t account(int place, const std::string& field) {
-    return boost::json::parse(stage_->ask(place, "thistlefold status 1\n").value()).at(field).to_number<std::int64_t>();
+    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
+        .at(field)
+        .to_number<std::int64_t>();
   }
   std::int64_t freeCircuits(int place, int other) {
-    return boost::json::parse(stage_->ask(place, "thistlefold status 1\n").value())
+    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
         .at("exchanges")
         .at(static_cast<std::size_t>(other))
         .at("free")
@@ -193,18 +195,19 @@
   }
   audit::Findings findings() {
     capture_.close();
-    return audit::audit(stage_->fleet(), path_, stage_->slack());
+    return audit::audit(testbed_->fleet(), path_, testbed_->tolerance());
   }
   const std::string& path() const { return path_; }
 
-  net::Fate fate;
+  net::Impairment impairment;
   /// Fate of frames between offices, by place; all else takes five milliseconds.
   void between(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
-    fate = [this, what = std::move(what)](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+    impairment = [this, what = std::move(what)](iax2::Address from, iax2::Address to,
+                                                std::vector<std::uint8_t>& bytes) {
       const std::vector<iax2::Address> all = offices();
       const auto a = std::find(all.begin(), all.end(), from), b = std::find(all.begin(), all.end(), to);
       iax2::Frame frame;
-      if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::Reading::full)
+      if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::DecodeResult::full)
         return std::vector<Span>{Span::ms(5)};
       return what(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
     };
@@ -213,69 +216,69 @@
  private:
   std::vector<iax2::Address> offices() const {
     std::vector<iax2::Address> all;
-    for (const Place& place : stage_->fleet().places) all.push_back(place.office);
+    for (const Place& place : testbed_->fleet().places) all.push_back(place.office);
     return all;
   }
   std::string path_;
-  std::unique_ptr<day::Stage> stage_;
+  std::unique_ptr<day::Testbed> testbed_;
   capture::Writer capture_;
-  DirectoryStandIn directory_;
-  std::vector<std::unique_ptr<ExchangeStandIn>> exchanges_;
+  SimulatedDirectory directory_;
+  std::vector<std::unique_ptr<SimulatedExchange>> exchanges_;
 };
 
 /// Sends every session direct at once and again whenever it comes back, whatever it was told. With `twice` it sends
 /// two INVITEs, with `silent` it answers nobody.
-class Reckless final : public Controller {
+class RogueController final : public Controller {
  public:
   struct Ways {
     bool twice = false, silent = false;
   };
-  explicit Reckless(Ways ways) : ways_(ways) {}
+  explicit RogueController(Ways ways) : ways_(ways) {}
 
-  void round(Instant now, Arrivals& arrivals, Writer& writer) override {
+  void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
-    writer_ = &writer;
-    arrivals.deliver(*this);
+    sink_ = &sink;
+    events.deliver(*this);
     for (Session* session : std::exchange(inHand_, {})) {
-      if (session->over) continue;
+      if (session->finished) continue;
       if (session->destination == nullptr || now_ >= session->timerLimit) {
-        session->over = true;
-        if (!ways_.silent) writer.busy(*session, Span::none());
+        session->finished = true;
+        if (!ways_.silent) sink.rejectBusy(*session, Span::none());
         continue;
       }
       if (ways_.silent) continue;
-      writer.invite(*session, *session->destination, Span::ms(400));
-      if (ways_.twice) writer.invite(*session, *session->destination, Span::ms(400));
+      sink.invite(*session, *session->destination, Span::ms(400));
+      if (ways_.twice) sink.invite(*session, *session->destination, Span::ms(400));
     }
-    writer.wakeIn(Span::ms(100));
+    sink.scheduleWakeUp(Span::ms(100));
   }
-  void listed(Exchange& exchange, Readiness readiness, Instant started) override {
+  void exchangeListed(Exchange& exchange, Readiness readiness, Instant started) override {
     exchange.readiness = readiness;
     exchange.started = started;
   }
   void listFailed() override {}
-  void circuits(Exchange&, double, double) override {}
-  void reported(Exchange&, double) override {}
-  void incoming(Session& session) override { inHand_.push_back(&session); }
-  void accepted(Session& session, Span) override { session.standing = true; }
-  void ended(Session& session, Exchange&, Ending ending, Reason, bool, Span, bool final) override {
-    if (final || ending == Ending::ok) {
-      session.over = true;
+  void circuitsChanged(Exchange&, double, double) override {}
+  void capacityReported(Exchange&, double) override {}
+  void sessionArrived(Session& session) override { inHand_.push_back(&session); }
+  void inviteAccepted(Session& session, Span) override { session.established = true; }
+  void inviteEnded(Session& session, Exchange&, InviteOutcome ending, BlockingReason, bool, Span, bool final) override {
+    if (final || ending == InviteOutcome::released) {
+      session.finished = true;
     } else {
       inHand_.push_back(&session);
     }
   }
-  void abandoned(Session& session) override { session.over = true; }
+  void sessionAbandoned(Session& session) override { session.finished = true; }
 
  private:
   Ways ways_;
   Instant now_;
-  Writer* writer_ = nullptr;
+  DecisionSink* sink_ = nullptr;
   std::vector<Session*> inHand_;
 };
 
-inline MakeController reckless(Reckless::Ways ways = {}) {
-  return [ways](const OfficeData&, std::uint64_t) { return std::make_unique<Reckless>(ways); };
+inline ControllerFactory rogueController(RogueController::Ways ways = {}) {
+  return [ways](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(ways); };
 }
 
 }  // namespace thistlefold::test
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -11,9 +11,9 @@
 #include "office/list.hpp"
 
 using namespace thistlefold;
+using test::FleetFixture;
 using test::smallFleet;
-using test::Telephone;
-using test::Town;
+using test::TestPhone;
 
 namespace {
 
@@ -39,7 +39,7 @@
   budget.to = 1;
   budget.circuits = 7;
   budget.dividing = zones::Dividing::lent;
-  budget.classes.resize(fleet.offers.size());
+  budget.classes.resize(fleet.offeredServices.size());
   fleet.budgets = {budget};
   return fleet;
 }
@@ -48,50 +48,52 @@
 class Unrest {
  public:
   explicit Unrest(std::uint32_t seed, const std::string& name)
-      : chance_(seed), town_(fleetOf(seed), openOffice, name), phone_(seed) {}
+      : chance_(seed), fixture_(fleetOf(seed), makeController, name), phone_(seed) {}
 
   Outcome play(double length) {
-    town_.open();
-    town_.stage().place(day::kCallers, phone_);
-    town_.note("begin");
-    town_.fate = [this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>&) { return fate(from, to); };
+    fixture_.open();
+    fixture_.testbed().place(day::kCallers, phone_);
+    fixture_.note("begin");
+    fixture_.impairment = [this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>&) {
+      return impairment(from, to);
+    };
     unrest_ = true;
-    const Instant end = town_.now() + Span::ms(length);
-    while (town_.now() < end) {
+    const Instant end = fixture_.now() + Span::ms(length);
+    while (fixture_.now() < end) {
       act();
-      town_.run(5 + 60 * lot());
+      fixture_.run(5 + 60 * lot());
     }
     unrest_ = false;
     for (int i = 0; i < kPlaces; ++i) {
-      if (frozen_[i]) town_.freeze(i, frozen_[i] = false);
+      if (frozen_[i]) fixture_.freeze(i, frozen_[i] = false);
       if (down_[i]) start(i);
-      town_.at(i).hang(town_.now(), false);
-      town_.stage().nudge(day::processorIdentity(i));
-      town_.learns(i, Readiness::ready, town_.at(i).mark());
+      fixture_.at(i).hang(fixture_.now(), false);
+      fixture_.testbed().wakeUp(day::processorIdentity(i));
+      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
     }
     // The latest copies of the unrest are eight seconds late, and a peer's silence is believed after six.
-    town_.run(12000);
+    fixture_.run(12000);
     for (iax2::Call* call : std::vector<iax2::Call*>(phone_.dialled.begin(), phone_.dialled.end())) hangUp(*call);
-    town_.run(15000);
+    fixture_.run(15000);
     Outcome outcome;
     for (int i = 0; i < kPlaces; ++i) {
       for (const char* what : {"sessions", "legs", "standing"}) {
-        if (town_.account(i, what) != 0) outcome.atRest += "office " + std::to_string(i) + " has " + what + "; ";
+        if (fixture_.account(i, what) != 0) outcome.atRest += "office " + std::to_string(i) + " has " + what + "; ";
       }
       for (int j = 0; j < kPlaces; ++j) {
-        if (i != j && town_.freeCircuits(i, j) != kCircuits) outcome.atRest += "circuits are held; ";
+        if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.atRest += "circuits are held; ";
       }
-      if (town_.at(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
+      if (fixture_.at(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
     }
     // Peace serves again what is offered.
     const int before = phone_.count("ANSWER");
     for (int i = 0; i < kPlaces; ++i) dial(i, (i + 1) % kPlaces, "call");
-    town_.run(3000);
+    fixture_.run(3000);
     if (phone_.count("ANSWER") != before + kPlaces) outcome.atRest += "peace does not serve what is offered; ";
-    outcome.findings = town_.findings();
-    outcome.trace = contents(town_.path());
-    town_.stage().remove(day::kCallers);
-    town_.run(10);
+    outcome.findings = fixture_.findings();
+    outcome.trace = contents(fixture_.path());
+    fixture_.testbed().remove(day::kCallers);
+    fixture_.run(10);
     return outcome;
   }
 
@@ -99,10 +101,10 @@
   double lot() { return std::generate_canonical<double, 32>(chance_); }
   int place() { return static_cast<int>(chance_() % kPlaces); }
 
-  std::vector<Span> fate(iax2::Address from, iax2::Address to) {
+  std::vector<Span> impairment(iax2::Address from, iax2::Address to) {
     if (!unrest_) return {Span::ms(5)};
     // Deaf one way: what goes from one office to another is lost, what comes back is not.
-    if (town_.now() < deafUntil_ && from == deafFrom_ && to == deafTo_) return {};
+    if (fixture_.now() < deafUntil_ && from == deafFrom_ && to == deafTo_) return {};
     if (lot() < 0.04) return {};
     const auto delay = [&] { return Span::ms(lot() < 0.08 ? 400 * lot() : 4 + 2 * lot()); };
     std::vector<Span> copies{delay()};
@@ -111,17 +113,18 @@
   }
 
   void dial(int from, int to, const std::string& service) {
-    phone_.dial(town_.now(), town_.office(from), std::to_string(20 + to) + std::to_string(1000 + chance_() % 9000),
-                Span::ms(500 + 4000 * lot()), service);
-    town_.stage().nudge(day::kCallers);
+    phone_.dial(fixture_.now(), fixture_.office(from),
+                std::to_string(20 + to) + std::to_string(1000 + chance_() % 9000), Span::ms(500 + 4000 * lot()),
+                service);
+    fixture_.testbed().wakeUp(day::kCallers);
   }
   void hangUp(iax2::Call& call) {
-    phone_.endpoint().hangUp(town_.now(), call, iax2::Iax::HANGUP, {});
-    town_.stage().nudge(day::kCallers);
+    phone_.endpoint().hangUp(fixture_.now(), call, iax2::Iax::HANGUP, {});
+    fixture_.testbed().wakeUp(day::kCallers);
   }
   void start(int i) {
-    town_.note("start e" + std::to_string(i + 1));
-    town_.stage().startOffice(i, 1000 + chance_() % 1000);
+    fixture_.note("start e" + std::to_string(i + 1));
+    fixture_.testbed().startOffice(i, 1000 + chance_() % 1000);
     down_[i] = false;
   }
 
@@ -135,35 +138,35 @@
       if (phone_.dialled.empty()) return;
       hangUp(**std::next(phone_.dialled.begin(), static_cast<std::ptrdiff_t>(chance_() % phone_.dialled.size())));
     } else if (what < 0.89) {
-      if (!down_[i]) town_.freeze(i, frozen_[i] = !frozen_[i]);
+      if (!down_[i]) fixture_.freeze(i, frozen_[i] = !frozen_[i]);
     } else if (what < 0.91) {
       if (frozen_[i]) return;
       if (down_[i]) return start(i);
-      town_.note("kill e" + std::to_string(i + 1));
-      town_.stage().killOffice(i);
+      fixture_.note("kill e" + std::to_string(i + 1));
+      fixture_.testbed().killOffice(i);
       down_[i] = true;
     } else if (what < 0.94) {
-      town_.at(i).hang(town_.now(), lot() < 0.5);
-      town_.stage().nudge(day::processorIdentity(i));
+      fixture_.at(i).hang(fixture_.now(), lot() < 0.5);
+      fixture_.testbed().wakeUp(day::processorIdentity(i));
     } else if (what < 0.96) {
-      town_.learns(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, town_.at(i).mark());
+      fixture_.learns(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.at(i).mark());
     } else if (what < 0.965) {
-      deafFrom_ = town_.office(i);
-      deafTo_ = town_.office((i + 1) % kPlaces);
-      deafUntil_ = town_.now() + Span::ms(8000 * lot());
+      deafFrom_ = fixture_.office(i);
+      deafTo_ = fixture_.office((i + 1) % kPlaces);
+      deafUntil_ = fixture_.now() + Span::ms(8000 * lot());
     } else if (what < 0.98) {
       // Another processor in its place; the directory tells sooner or later.
-      town_.exchange(i, false);
-      town_.directory().learns(town_.now(), i, Readiness::ready, town_.at(i).mark(), Span::ms(1500 * lot()));
-      town_.stage().nudge(day::kDirectory);
+      fixture_.exchange(i, false);
+      fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.at(i).mark(), Span::ms(1500 * lot()));
+      fixture_.testbed().wakeUp(day::kDirectory);
     } else {
-      town_.learns(i, Readiness::ready, town_.at(i).mark());
+      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
     }
   }
 
   std::mt19937 chance_;
-  Town town_;
-  Telephone phone_;
+  FleetFixture fixture_;
+  TestPhone phone_;
   bool unrest_ = false;
   iax2::Address deafFrom_{}, deafTo_{};
   Instant deafUntil_ = Instant::longAgo();
@@ -224,7 +227,7 @@
         if (key == "limit") e.timeLeft = static_cast<std::uint32_t>(std::stoul(value));
         if (key == "session") e.session = std::stoull(value, nullptr, 16);
         if (key == "towards") e.towards = static_cast<std::uint16_t>(std::stoul(value)), e.width = std::uint16_t{1};
-        if (key == "why") e.why = static_cast<iax2::Why>(std::stoul(value));
+        if (key == "why") e.why = static_cast<iax2::ReleaseReason>(std::stoul(value));
         if (key == "times") times = std::stoi(value);
       }
     }
@@ -276,7 +279,7 @@
   const Fleet fleet = day::identified(smallFleet(2, 200));
   for (int rule = 1; rule <= 5; ++rule) {
     writeCapture("tests/histories/rule-" + std::to_string(rule) + ".frames", path);
-    const audit::Findings findings = audit::audit(fleet, path, audit::kVirtualSlack);
+    const audit::Findings findings = audit::audit(fleet, path, audit::kVirtualTolerance);
     CAPTURE(rule);
     CAPTURE(audit::describe(findings));
     for (int other = 1; other <= 5; ++other) CHECK((findings.broken[other] > 0) == (other == rule));
--- a/tests/program/iax2.cpp
+++ b/tests/program/iax2.cpp
@@ -10,7 +10,7 @@
 
 using namespace thistlefold;
 using namespace thistlefold::iax2;
-using test::Telephone;
+using test::TestPhone;
 
 namespace {
 
@@ -18,7 +18,7 @@
 
 /// Two telephones and a line between them that a function spoils.
 struct Line {
-  Telephone a{1}, b{2};
+  TestPhone a{1}, b{2};
   Instant now = Instant::ms(1000);
   std::function<std::vector<Span>(std::vector<std::uint8_t>&)> spoil;
   struct Letter {
@@ -33,8 +33,8 @@
   std::vector<std::vector<std::uint8_t>> sentByA;
 
   void turn() {
-    for (Telephone* one : {&a, &b}) {
-      one->turn(now, [&](Address, std::span<const std::uint8_t> datagram) {
+    for (TestPhone* one : {&a, &b}) {
+      one->process(now, [&](Address, std::span<const std::uint8_t> datagram) {
         std::vector<std::uint8_t> bytes(datagram.begin(), datagram.end());
         if (one == &a) sentByA.push_back(bytes);
         for (const Span delay : spoil ? spoil(bytes) : std::vector<Span>{Span::ms(2)}) {
@@ -47,14 +47,14 @@
     const Instant end = now + Span::ms(ms);
     for (;;) {
       turn();
-      Instant next = std::min(a.nextTurn(), b.nextTurn());
+      Instant next = std::min(a.nextDeadline(), b.nextDeadline());
       if (!post.empty()) next = std::min(next, post.top().at);
       if (next > end) break;
       now = std::max(now, next);
       while (!post.empty() && post.top().at <= now) {
         const Letter letter = post.top();
         post.pop();
-        (letter.toA ? a : b).take(now, letter.toA ? kB : kA, letter.bytes);
+        (letter.toA ? a : b).receive(now, letter.toA ? kB : kA, letter.bytes);
       }
     }
     now = end;
@@ -70,7 +70,7 @@
 }  // namespace
 
 TEST_CASE("a NEW as RFC 5456 lays it out") {
-  Head head;
+  FrameHeader head;
   head.source = 0x1234;
   head.timestamp = 0x01020304;
   head.subclass = 1;
@@ -95,37 +95,37 @@
   e.width = std::uint16_t{4};
   e.timeLeft = 1234u;
   e.wait = 99u;
-  e.why = Why::turnedBack;
+  e.why = ReleaseReason::turnedBack;
   e.beyond = true;
   e.wasCut = true;
   e.canTake = 123456u;
   e.started = 77u;
-  const auto wire = encode(Head(), e);
+  const auto wire = encode(FrameHeader(), e);
   Frame frame;
-  REQUIRE(decode(wire, frame) == Reading::full);
+  REQUIRE(decode(wire, frame) == DecodeResult::full);
   CHECK(encode(frame, frame.elements) == wire);
   CHECK(frame.elements.session == e.session);
-  CHECK(frame.elements.why == Why::turnedBack);
+  CHECK(frame.elements.why == ReleaseReason::turnedBack);
 }
 
 TEST_CASE("what is no frame is told apart") {
   Frame frame;
-  CHECK(decode(bytes({}), frame) == Reading::malformed);
-  CHECK(decode(bytes({0x80, 1, 0}), frame) == Reading::malformed);
-  CHECK(decode(bytes({0x00, 5, 0, 20, 1, 2, 3}), frame) == Reading::mini);
+  CHECK(decode(bytes({}), frame) == DecodeResult::malformed);
+  CHECK(decode(bytes({0x80, 1, 0}), frame) == DecodeResult::malformed);
+  CHECK(decode(bytes({0x00, 5, 0, 20, 1, 2, 3}), frame) == DecodeResult::mini);
   auto head = bytes({0x80, 2, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1});
-  CHECK(decode(head, frame) == Reading::full);
+  CHECK(decode(head, frame) == DecodeResult::full);
   auto over = head;
   over.insert(over.end(), {1, 5, '2'});  // runs over the end
-  CHECK(decode(over, frame) == Reading::malformed);
+  CHECK(decode(over, frame) == DecodeResult::malformed);
   auto wrong = head;
   wrong.insert(wrong.end(), {0x0b, 1, 2});  // a version of one byte
-  CHECK(decode(wrong, frame) == Reading::malformed);
+  CHECK(decode(wrong, frame) == DecodeResult::malformed);
   auto unknown = head;
   unknown.insert(unknown.end(), {0xfe, 2, 9, 9, 1, 1, '7'});
-  REQUIRE(decode(unknown, frame) == Reading::full);
+  REQUIRE(decode(unknown, frame) == DecodeResult::full);
   CHECK(frame.elements.calledNumber == "7");
-  CHECK(decode(std::vector<std::uint8_t>(kLongest + 1, 0x80), frame) == Reading::malformed);
+  CHECK(decode(std::vector<std::uint8_t>(kMaxDatagramBytes + 1, 0x80), frame) == DecodeResult::malformed);
 }
 
 TEST_CASE("a call is opened, answered and ended, each frame heard once, on a line that loses, doubles and reorders") {
@@ -173,10 +173,10 @@
   line.a.endpoint().hangUp(line.now, *call, Iax::HANGUP, {});
   line.run(500);
   CHECK(line.b.count("HANGUP") == 1);
-  line.b.take(line.now, kA, first);
+  line.b.receive(line.now, kA, first);
   auto again = first;
-  markAgain(again, 0);
-  line.b.take(line.now, kA, again);
+  markRetransmitted(again, 0);
+  line.b.receive(line.now, kA, again);
   line.run(500);
   CHECK(line.b.count("NEW") == 1);
 }
@@ -202,7 +202,7 @@
   int dropped = 0;
   line.spoil = [&](std::vector<std::uint8_t>& wire) {
     Frame frame;
-    REQUIRE(decode(wire, frame) == Reading::full);
+    REQUIRE(decode(wire, frame) == DecodeResult::full);
     const bool drop = frame.is(Control::ringing) && dropped++ == 0;
     return drop ? std::vector<Span>() : std::vector<Span>{Span::ms(2)};
   };
@@ -223,7 +223,7 @@
   line.spoil = [](std::vector<std::uint8_t>&) { return std::vector<Span>(); };
   line.run(9000);
   CHECK(line.a.goneCount == 1);
-  CHECK(line.a.lastGone == Gone::unanswered);
+  CHECK(line.a.lastGone == CallEnd::unanswered);
   CHECK(line.a.endpoint().counts().retransmitted == 6);
   line.spoil = nullptr;
   line.a.dial(line.now, kB, "2002");
@@ -231,19 +231,19 @@
   line.b.endpoint().forget(*line.b.calls.front());
   line.run(21000);  // the PING of a quiet call
   CHECK(line.a.goneCount == 2);
-  CHECK(line.a.lastGone == Gone::unknown);
+  CHECK(line.a.lastGone == CallEnd::unknown);
 }
 
 TEST_CASE("call numbers run out, are refused cleanly, and come back") {
-  Telephone a(1);
-  Patience patience;
-  patience.mostCalls = 100000;
-  struct Deaf : Door {
-    void opened(Call&, const Frame&) override {}
-    void ponged(Address, const Frame&) override {}
-    Elements greeting(Address) override { return {}; }
-  } door;
-  Endpoint endpoint(door, 5, patience);
+  TestPhone a(1);
+  DialogueTiming timing;
+  timing.mostCalls = 100000;
+  struct Deaf : CallListener {
+    void onIncomingCall(Call&, const Frame&) override {}
+    void onPong(Address, const Frame&) override {}
+    Elements pongElements(Address) override { return {}; }
+  } listener;
+  Endpoint endpoint(listener, 5, timing);
   Instant now = Instant::ms(1000);
   Elements e;
   e.calledNumber = "2001";
@@ -259,14 +259,14 @@
 }
 
 TEST_CASE("the bound on calls is kept and counted") {
-  struct Deaf : Door {
-    void opened(Call&, const Frame&) override {}
-    void ponged(Address, const Frame&) override {}
-    Elements greeting(Address) override { return {}; }
-  } door;
-  Patience patience;
-  patience.mostCalls = 3;
-  Endpoint endpoint(door, 5, patience);
+  struct Deaf : CallListener {
+    void onIncomingCall(Call&, const Frame&) override {}
+    void onPong(Address, const Frame&) override {}
+    Elements pongElements(Address) override { return {}; }
+  } listener;
+  DialogueTiming timing;
+  timing.mostCalls = 3;
+  Endpoint endpoint(listener, 5, timing);
   for (int i = 0; i < 3; ++i) REQUIRE(endpoint.open(Instant::ms(1), kB, nullptr, {}) != nullptr);
   CHECK(endpoint.open(Instant::ms(1), kB, nullptr, {}) == nullptr);
   CHECK(endpoint.counts().full == 1);
@@ -297,13 +297,13 @@
           wire.insert(wire.end(), {static_cast<std::uint8_t>(chance()), static_cast<std::uint8_t>(chance() % 4)});
       }
     }
-    line.b.take(line.now, kA, wire);
-    if (i % 50 == 0) line.b.turn(line.now, [](Address, std::span<const std::uint8_t>) {});
+    line.b.receive(line.now, kA, wire);
+    if (i % 50 == 0) line.b.process(line.now, [](Address, std::span<const std::uint8_t>) {});
   }
   const Counts& counts = line.b.endpoint().counts();
   CHECK(counts.received >= 200000);
   CHECK(counts.malformed > 1000);
   CHECK(line.b.endpoint().calls() <= 60000);
   (void)call;
-  line.b.turn(line.now + Span::ms(60000), [](Address, std::span<const std::uint8_t>) {});
+  line.b.process(line.now + Span::ms(60000), [](Address, std::span<const std::uint8_t>) {});
 }
--- a/tests/program/lease.cpp
+++ b/tests/program/lease.cpp
@@ -26,7 +26,7 @@
 struct Pair {
   Pair() { start(0), start(1), talk(4000); }
   void start(int i) {
-    pools[i] = std::make_unique<Pool>(kKinds, i, std::vector<int>{0, 1}, 1, now);
+    pools[i] = std::make_unique<LeasedBudget>(kKinds, i, std::vector<int>{0, 1}, 1, now);
     pools[i]->set(now, lentBudget(20));
     pools[i]->wait(now);
   }
@@ -55,8 +55,8 @@
   int sum() { return pools[0]->part().circuits() + pools[1]->part().circuits(); }
 
   Instant now = Instant::ms(5000);
-  std::unique_ptr<Pool> pools[2];
-  Word last[2];
+  std::unique_ptr<LeasedBudget> pools[2];
+  LeaseMessage last[2];
 };
 
 model::ZoneDay randomDay(std::uint64_t seed) {
@@ -86,7 +86,7 @@
     }
     // A process is killed, or stands still, or is cut off; a second kill while one is down is not played.
     if (one.kind == model::ZoneTrouble::Kind::kill && i > 0) one.kind = model::ZoneTrouble::Kind::freeze;
-    day.troubles.push_back(one);
+    day.faults.push_back(one);
   }
   return day;
 }
@@ -168,12 +168,12 @@
 TEST_CASE("an office frozen past its lease that wakes with old grants in its socket does not use them") {
   Pair pair;
   pair.fill(0, 14);
-  std::vector<Word> queued;
+  std::vector<LeaseMessage> queued;
   for (int i = 0; i < 2000; ++i, pair.now = pair.now + Span::ms(25)) {
     for (auto& [to, word] : pair.pools[1]->speak(pair.now)) queued.push_back(word);
   }
   CHECK(pair.pools[1]->writtenOff() > 0);
-  for (const Word& word : queued) pair.pools[0]->hear(pair.now, word);
+  for (const LeaseMessage& word : queued) pair.pools[0]->hear(pair.now, word);
   CHECK(pair.pools[0]->borrowed(pair.now) == 0);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
 }
@@ -181,7 +181,7 @@
 TEST_CASE("words that are lost, doubled or overtaken change nothing that a later one has settled") {
   Pair pair;
   pair.fill(0, 16);
-  const Word old = pair.last[1];
+  const LeaseMessage old = pair.last[1];
   for (int i = 0; i < 12; ++i) pair.pools[0]->release(pair.now, 0);
   pair.talk(6000);
   const int borrowed = pair.pools[0]->borrowed(pair.now);
@@ -203,7 +203,7 @@
   CHECK(pair.pools[1]->lent() >= std::min(borrowed, 6));
   CHECK(pair.sum() <= 20);
   // With nobody there to ask it waits a term and no longer.
-  Pool alone(kKinds, 1, {0, 1}, 1, pair.now);
+  LeasedBudget alone(kKinds, 1, {0, 1}, 1, pair.now);
   alone.set(pair.now, lentBudget(20));
   alone.wait(pair.now);
   alone.speak(pair.now + Span::ms(9000));
@@ -298,7 +298,7 @@
 }
 
 TEST_CASE("a word is read back as written, and no beginning of it passes for one") {
-  Word word;
+  LeaseMessage word;
   word.from = 3;
   word.zone = 1;
   word.mark = 77;
@@ -315,19 +315,19 @@
   const auto bytes = [&](std::size_t count) {
     return std::span(reinterpret_cast<const std::uint8_t*>(text.data()), count);
   };
-  const auto back = decodeWord(bytes(text.size()));
+  const auto back = decodeLeaseMessage(bytes(text.size()));
   REQUIRE(back);
   CHECK(encode(*back) == text);
   CHECK(back->holds == word.holds);
-  for (std::size_t count = 0; count < text.size(); ++count) CHECK_FALSE(decodeWord(bytes(count)));
+  for (std::size_t count = 0; count < text.size(); ++count) CHECK_FALSE(decodeLeaseMessage(bytes(count)));
   std::string wrong = text;
   wrong.replace(wrong.find("granted 1"), 9, "granted x");
-  CHECK_FALSE(decodeWord(std::span(reinterpret_cast<const std::uint8_t*>(wrong.data()), wrong.size())));
+  CHECK_FALSE(decodeLeaseMessage(std::span(reinterpret_cast<const std::uint8_t*>(wrong.data()), wrong.size())));
 }
 
 TEST_CASE("words that do not fit the fleet are not taken") {
   Pair pair;
-  Word word = pair.last[0];
+  LeaseMessage word = pair.last[0];
   word.sent += 1000000;
   word.asks.pop_back();
   CHECK_FALSE(pair.pools[1]->hear(pair.now, word));
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -3,34 +3,34 @@
 #include "fleet_fixture.hpp"
 
 using namespace thistlefold;
+using test::FleetFixture;
 using test::smallFleet;
-using test::Telephone;
-using test::Town;
+using test::TestPhone;
 
 namespace {
 
 struct Dialler {
-  explicit Dialler(Town& of) : town(of) { town.stage().place(day::kCallers, phone); }
+  explicit Dialler(FleetFixture& of) : fixture(of) { fixture.testbed().place(day::kCallers, phone); }
   iax2::Call* dial(int office, const std::string& number, Span limit = Span::ms(3000)) {
-    iax2::Call* call = phone.dial(town.now(), town.office(office), number, limit);
-    town.stage().nudge(day::kCallers);
+    iax2::Call* call = phone.dial(fixture.now(), fixture.office(office), number, limit);
+    fixture.testbed().wakeUp(day::kCallers);
     return call;
   }
   void hangUp(iax2::Call& call) {
-    phone.endpoint().hangUp(town.now(), call, iax2::Iax::HANGUP, {});
-    town.stage().nudge(day::kCallers);
+    phone.endpoint().hangUp(fixture.now(), call, iax2::Iax::HANGUP, {});
+    fixture.testbed().wakeUp(day::kCallers);
   }
-  Town& town;
-  Telephone phone{99};
+  FleetFixture& fixture;
+  TestPhone phone{99};
 };
 
-void checkAtRest(Town& town, int circuits) {
-  const int places = static_cast<int>(town.stage().fleet().places.size());
+void checkAtRest(FleetFixture& fixture, int circuits) {
+  const int places = static_cast<int>(fixture.testbed().fleet().places.size());
   for (int i = 0; i < places; ++i) {
-    CHECK(town.account(i, "sessions") == 0);
-    CHECK(town.account(i, "legs") == 0);
+    CHECK(fixture.account(i, "sessions") == 0);
+    CHECK(fixture.account(i, "legs") == 0);
     for (int j = 0; j < places; ++j) {
-      if (i != j) CHECK(town.freeCircuits(i, j) == circuits);
+      if (i != j) CHECK(fixture.freeCircuits(i, j) == circuits);
     }
   }
 }
@@ -38,96 +38,96 @@
 }  // namespace
 
 TEST_CASE("a session stands, holds its circuits at both ends, and ends") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   iax2::Call* call = callers.dial(0, "210001");
-  town.run(200);
+  fixture.run(200);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(town.freeCircuits(0, 1) == 9);
-  CHECK(town.freeCircuits(1, 0) == 9);
-  CHECK(town.at(1).standing() == 1);
+  CHECK(fixture.freeCircuits(0, 1) == 9);
+  CHECK(fixture.freeCircuits(1, 0) == 9);
+  CHECK(fixture.at(1).standing() == 1);
   callers.hangUp(*call);
-  town.run(300);
-  checkAtRest(town, 10);
-  CHECK(town.at(1).standing() == 0);
-  const auto findings = town.findings();
+  fixture.run(300);
+  checkAtRest(fixture, 10);
+  CHECK(fixture.at(1).standing() == 0);
+  const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.stood == 1);
 }
 
 TEST_CASE("unknown numbers and services are refused once, with their own causes") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   callers.dial(0, "990001");
-  town.run(100);
+  fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 1);
   CHECK(callers.phone.lastCause == 3);
-  callers.phone.dial(town.now(), town.office(0), "210001", Span::ms(3000), "no-such-service");
-  town.stage().nudge(day::kCallers);
-  town.run(100);
+  callers.phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "no-such-service");
+  fixture.testbed().wakeUp(day::kCallers);
+  fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 2);
-  CHECK(town.findings().kept());
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("an exchange that takes set-ups and answers none costs each session one answer in time") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  town.at(1).hang(town.now(), true);
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  fixture.at(1).hang(fixture.now(), true);
+  Dialler callers(fixture);
   for (int i = 0; i < 5; ++i) callers.dial(0, "21000" + std::to_string(i));
-  town.run(3500);
+  fixture.run(3500);
   CHECK(callers.phone.finals() == 5);
   CHECK(callers.phone.count("ANSWER") == 0);
-  town.run(8000);
-  checkAtRest(town, 10);
-  const auto findings = town.findings();
+  fixture.run(8000);
+  checkAtRest(fixture, 10);
+  const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.unanswered == 0);
 }
 
 TEST_CASE("an ANSWER that crosses the HANGUP of a time-out is cleaned up and never stands") {
-  Town town(smallFleet(2, 10));
-  town.open();
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
   // The exchange's answer leaves at 20 ms or so; held back until just after the office has given up.
-  town.between([](int from, int to, const iax2::Frame& frame) {
+  fixture.between([](int from, int to, const iax2::Frame& frame) {
     const bool late = from == 1 && to == 0 && frame.is(iax2::Control::answer);
     return std::vector<Span>{late ? Span::ms(1985) : Span::ms(5)};
   });
-  Dialler callers(town);
+  Dialler callers(fixture);
   callers.dial(0, "210001");
-  town.run(9000);
+  fixture.run(9000);
   CHECK(callers.phone.count("ANSWER") == 0);
   CHECK(callers.phone.finals() == 1);
-  CHECK(town.account(0, "timed_out") == 1);
-  CHECK(town.at(1).tally().stood == 1);
-  CHECK(town.at(1).standing() == 0);
-  checkAtRest(town, 10);
-  CHECK(town.findings().kept());
+  CHECK(fixture.account(0, "timed_out") == 1);
+  CHECK(fixture.at(1).counters().stood == 1);
+  CHECK(fixture.at(1).standing() == 0);
+  checkAtRest(fixture, 10);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("the last circuit seized from both ends at once: one session stands, one is turned back, counts agree") {
-  Town town(smallFleet(2, 1));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 1));
+  fixture.open();
+  Dialler callers(fixture);
   iax2::Call* a = callers.dial(0, "210001");
   iax2::Call* b = callers.dial(1, "200001");
-  town.run(400);
+  fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(town.at(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
-  CHECK(town.at(0).standing() == 0);
-  CHECK(town.freeCircuits(0, 1) == 0);
-  CHECK(town.freeCircuits(1, 0) == 0);
+  CHECK(fixture.at(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
+  CHECK(fixture.at(0).standing() == 0);
+  CHECK(fixture.freeCircuits(0, 1) == 0);
+  CHECK(fixture.freeCircuits(1, 0) == 0);
   callers.hangUp(*a);
-  town.run(3000);
+  fixture.run(3000);
   (void)b;
-  checkAtRest(town, 1);
-  CHECK(town.findings().kept());
+  checkAtRest(fixture, 1);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("a group's two counts, by themselves") {
-  Trunk low(4, true), high(4, false);
+  TrunkGroup low(4, true), high(4, false);
   REQUIRE(low.seize(3));
   REQUIRE(high.seize(2));
   CHECK_FALSE(low.admit(2));  // the controlling end turns back
@@ -145,171 +145,172 @@
 }
 
 TEST_CASE("an office frozen through a drain's grace sends nothing there when it wakes") {
-  Town town(smallFleet(3, 10));
-  town.open();
-  Dialler callers(town);
-  town.freeze(0, true);
-  town.run(100);
+  FleetFixture fixture(smallFleet(3, 10));
+  fixture.open();
+  Dialler callers(fixture);
+  fixture.freeze(0, true);
+  fixture.run(100);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i), Span::ms(9000));
-  town.run(100);
-  town.learns(1, Readiness::draining, town.at(1).mark());
-  town.run(1500);  // three times the grace
-  town.freeze(0, false);
-  town.run(400);
+  fixture.run(100);
+  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.run(1500);  // three times the grace
+  fixture.freeze(0, false);
+  fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 0);
   CHECK(callers.phone.finals() == 4);
-  CHECK(town.at(1).tally().setUps == 0);
-  const auto findings = town.findings();
+  CHECK(fixture.at(1).counters().setUps == 0);
+  const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.invites == 0);
 }
 
 TEST_CASE("a reset is followed by no INVITE within the release time, and then by one") {
-  Town town(smallFleet(2, 10));
-  town.open();
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
   // A new processor under the office's nose: the INVITE that the old one held is reset.
-  town.at(1).hang(town.now(), true);
-  Dialler callers(town);
+  fixture.at(1).hang(fixture.now(), true);
+  Dialler callers(fixture);
   callers.dial(0, "210001");
-  town.run(400);
-  town.exchange(1, true);
-  town.run(100);
-  CHECK(town.account(0, "invites") == 1);
-  town.run(1400);
+  fixture.run(400);
+  fixture.exchange(1, true);
+  fixture.run(100);
+  CHECK(fixture.account(0, "invites") == 1);
+  fixture.run(1400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(town.account(0, "reset") == 1);
-  CHECK(town.account(0, "invites") == 2);
-  const auto findings = town.findings();
+  CHECK(fixture.account(0, "reset") == 1);
+  CHECK(fixture.account(0, "invites") == 2);
+  const auto findings = fixture.findings();
   CHECK(findings.kept());
 }
 
 TEST_CASE("with the directory dead from the start every session is refused at once") {
-  Town town(smallFleet(2, 10));
-  town.open(false);
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open(false);
+  Dialler callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
-  town.run(100);
+  fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 3);
-  CHECK(town.findings().kept());
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("an office that was killed with sessions standing comes back on its address and all counts agree") {
-  Town town(smallFleet(3, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(3, 10));
+  fixture.open();
+  Dialler callers(fixture);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i));
   for (int i = 0; i < 3; ++i) callers.dial(1, "20000" + std::to_string(i));
-  town.run(500);
+  fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 7);
-  town.note("kill e1");
-  town.stage().killOffice(0);
-  town.run(700);
-  town.note("start e1");
-  town.stage().startOffice(0, 70);
-  town.run(3000);
-  CHECK(town.freeCircuits(1, 0) == 10);
-  CHECK(town.freeCircuits(0, 1) == 10);
-  CHECK(town.account(1, "cut") == 3);
+  fixture.note("kill e1");
+  fixture.testbed().killOffice(0);
+  fixture.run(700);
+  fixture.note("start e1");
+  fixture.testbed().startOffice(0, 70);
+  fixture.run(3000);
+  CHECK(fixture.freeCircuits(1, 0) == 10);
+  CHECK(fixture.freeCircuits(0, 1) == 10);
+  CHECK(fixture.account(1, "cut") == 3);
   callers.dial(0, "210009");
-  town.run(500);
+  fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 8);
-  CHECK(town.findings().kept());
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("a peer that falls silent is given up and its circuits with it, and it is taken back") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   callers.dial(0, "210001");
-  town.run(500);
+  fixture.run(500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
   bool parted = true;
-  town.between(
+  fixture.between(
       [&](int, int, const iax2::Frame&) { return parted ? std::vector<Span>() : std::vector<Span>{Span::ms(5)}; });
-  town.run(9000);
+  fixture.run(9000);
   CHECK(callers.phone.count("HANGUP") == 1);
-  CHECK(town.account(0, "cut") == 1);
-  town.run(9000);
-  checkAtRest(town, 10);
+  CHECK(fixture.account(0, "cut") == 1);
+  fixture.run(9000);
+  checkAtRest(fixture, 10);
   parted = false;
-  town.run(2500);
+  fixture.run(2500);
   callers.dial(0, "210002");
-  town.run(3000);
+  fixture.run(3000);
   CHECK(callers.phone.count("ANSWER") == 2);
-  CHECK(town.findings().kept());
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("a lost tandem leg, a turn-back and a two-leg session") {
   Fleet fleet = smallFleet(3, 10);
   fleet.groups = {{0, 1, 10}, {1, 2, 10}};  // none between the first and the third
-  Town town(fleet);
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(fleet);
+  fixture.open();
+  Dialler callers(fixture);
   iax2::Call* call = callers.dial(0, "220001");
-  town.run(500);
+  fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(town.account(0, "two_leg") == 1);
-  CHECK(town.account(1, "transit") == 1);
-  CHECK(town.freeCircuits(1, 0) == 9);
-  CHECK(town.freeCircuits(1, 2) == 9);
+  CHECK(fixture.account(0, "two_leg") == 1);
+  CHECK(fixture.account(1, "transit") == 1);
+  CHECK(fixture.freeCircuits(1, 0) == 9);
+  CHECK(fixture.freeCircuits(1, 2) == 9);
   callers.hangUp(*call);
-  town.run(1000);
-  CHECK(town.freeCircuits(1, 2) == 10);
+  fixture.run(1000);
+  CHECK(fixture.freeCircuits(1, 2) == 10);
   // The tandem's own group to the destination is lost: it cuts what is on it and turns back what comes.
   callers.dial(0, "220002");
-  town.run(500);
+  fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 2);
-  town.directory().resized(town.now(), {1, 2, 0});
-  town.stage().nudge(day::kDirectory);
-  town.run(500);
+  fixture.directory().resized(fixture.now(), {1, 2, 0});
+  fixture.testbed().wakeUp(day::kDirectory);
+  fixture.run(500);
   CHECK(callers.phone.count("HANGUP") == 1);
   callers.dial(0, "220003");
-  town.run(3000);
+  fixture.run(3000);
   CHECK(callers.phone.count("ANSWER") == 2);
-  CHECK(town.account(0, "turned_back") >= 1);
-  CHECK(town.findings().kept());
+  CHECK(fixture.account(0, "turned_back") >= 1);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("SIGTERM's work: nothing new, one answer each for what is held, gone within two seconds") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  town.at(1).hang(town.now(), true);
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  fixture.at(1).hang(fixture.now(), true);
+  Dialler callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   iax2::Call* stands = callers.dial(1, "200001");
   (void)stands;
-  town.run(300);
+  fixture.run(300);
   CHECK(callers.phone.count("ANSWER") == 1);
-  town.stage().stopOffice(0);
-  town.run(100);
+  fixture.testbed().stopOffice(0);
+  fixture.run(100);
   CHECK(callers.phone.finals() == 1 + 3 + 1);  // the answer, three refusals, the end of the standing one
   callers.dial(0, "210009");
-  town.run(1900);
+  fixture.run(1900);
   CHECK(callers.phone.count("REJECT") == 1);
-  CHECK(town.account(0, "sessions") == 0);
-  CHECK(town.account(0, "legs") == 0);
-  CHECK(town.freeCircuits(1, 0) == 10);
-  CHECK(town.findings().kept());
+  CHECK(fixture.account(0, "sessions") == 0);
+  CHECK(fixture.account(0, "legs") == 0);
+  CHECK(fixture.freeCircuits(1, 0) == 10);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("the bound on sessions: more are refused at once and counted") {
   Fleet fleet = smallFleet(2, 10);
-  OfficeSetting setting;
+  OfficeOptions setting;
   setting.mostSessions = 2;
   Office office(fleet, setting, Instant::ms(1000));
-  Telephone phone(4);
+  TestPhone phone(4);
   const iax2::Address at{1, 1}, from{2, 2};
   std::vector<std::vector<std::uint8_t>> toPhone;
   // Three callers in one round: no directory, so all are refused in the end, the third because of the bound.
   for (int i = 0; i < 3; ++i) phone.dial(Instant::ms(1000), at, "21000" + std::to_string(i));
-  phone.turn(Instant::ms(1000),
-             [&](iax2::Address, std::span<const std::uint8_t> bytes) { office.take(Instant::ms(1000), from, bytes); });
-  office.turn(Instant::ms(1000), [&](iax2::Address to, std::span<const std::uint8_t> bytes) {
+  phone.process(Instant::ms(1000), [&](iax2::Address, std::span<const std::uint8_t> bytes) {
+    office.receive(Instant::ms(1000), from, bytes);
+  });
+  office.process(Instant::ms(1000), [&](iax2::Address to, std::span<const std::uint8_t> bytes) {
     if (to == from) toPhone.emplace_back(bytes.begin(), bytes.end());
   });
-  for (const auto& bytes : toPhone) phone.take(Instant::ms(1001), at, bytes);
+  for (const auto& bytes : toPhone) phone.receive(Instant::ms(1001), at, bytes);
   CHECK(phone.count("REJECT") == 3);
-  CHECK(office.tally().overFull == 1);
+  CHECK(office.counters().overFull == 1);
   CHECK(office.sessions() == 0);
 }
 
@@ -327,21 +328,21 @@
   for (std::size_t i = 0; i + 2 < text.size(); ++i) {
     const std::string part = text.substr(0, i);
     const auto read = decodeList(bytes(part));
-    if (read) CHECK(read->listings.size() == 2);
+    if (read) CHECK(read->entries.size() == 2);
   }
   Fleet fleet = smallFleet(2, 10);
   fleet.directory = {9, 9};
-  Office office(fleet, OfficeSetting(), Instant::ms(1000));
+  Office office(fleet, OfficeOptions(), Instant::ms(1000));
   const auto take = [&](const ExchangeList& one) {
-    office.take(Instant::ms(1000), fleet.directory, bytes(encode(one)));
+    office.receive(Instant::ms(1000), fleet.directory, bytes(encode(one)));
   };
   take(list);
   CHECK(office.told(1) == Readiness::draining);
   list.version = 1;
-  list.listings[1].readiness = Readiness::ready;
+  list.entries[1].readiness = Readiness::ready;
   take(list);
   CHECK(office.told(1) == Readiness::draining);
-  CHECK(office.tally().listsStale == 1);
+  CHECK(office.counters().listsStale == 1);
   list.directory = 6;
   take(list);
   CHECK(office.told(1) == Readiness::ready);
@@ -349,41 +350,41 @@
 }
 
 TEST_CASE("a sign of life of an office's former life, late on its way, costs its new life nothing") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   bool former = true;
-  town.between([&](int from, int to, const iax2::Frame& frame) {
+  fixture.between([&](int from, int to, const iax2::Frame& frame) {
     const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
     // Doubled, and the second copy four seconds late.
     return sign && former ? std::vector<Span>{Span::ms(5), Span::ms(4000)} : std::vector<Span>{Span::ms(5)};
   });
-  town.run(2000);
+  fixture.run(2000);
   former = false;
-  town.note("kill e2");
-  town.stage().killOffice(1);
-  town.run(300);
-  town.note("start e2");
-  town.stage().startOffice(1, 70);
-  town.run(1500);
+  fixture.note("kill e2");
+  fixture.testbed().killOffice(1);
+  fixture.run(300);
+  fixture.note("start e2");
+  fixture.testbed().startOffice(1, 70);
+  fixture.run(1500);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
-  town.run(300);
+  fixture.run(300);
   REQUIRE(callers.phone.count("ANSWER") == 3);
-  town.run(6000);
+  fixture.run(6000);
   CHECK(callers.phone.count("HANGUP") == 0);
-  CHECK(town.account(0, "cut") == 0);
-  CHECK(town.findings().kept());
+  CHECK(fixture.account(0, "cut") == 0);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("what an exchange could take is not told of the one in its place, nor of one that is gone") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   bool blind = false;
   int told = 0, refused = 0;
-  town.fate = [&](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+  fixture.impairment = [&](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     iax2::Frame frame;
-    const bool read = iax2::decode(bytes, frame) == iax2::Reading::full;
+    const bool read = iax2::decode(bytes, frame) == iax2::DecodeResult::full;
     // The first office's own list lags, as lists do, so that it goes on sending.
     if (blind && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
     if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
@@ -395,11 +396,11 @@
   };
   blind = true;
   // Its process is replaced by one that hangs from the start: it gives signs of life, and says nothing of its room.
-  town.exchange(1, false).hang(town.now(), true);
-  town.learns(1, Readiness::draining, town.at(1).mark());
-  town.run(350);
+  fixture.exchange(1, false).hang(fixture.now(), true);
+  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.run(350);
   callers.dial(0, "210001");
-  town.run(100);
+  fixture.run(100);
   REQUIRE(refused == 1);
   CHECK(told == 0);
 }
@@ -407,12 +408,12 @@
 TEST_CASE("a directory in another's place whose clock is behind is believed once that one has been silent") {
   Fleet fleet = smallFleet(2, 10);
   fleet.directory = {9, 9};
-  Office office(fleet, OfficeSetting(), Instant::ms(1000));
+  Office office(fleet, OfficeOptions(), Instant::ms(1000));
   const auto take = [&](double at, std::uint64_t directory, std::uint64_t version, Readiness readiness) {
     const std::string text = encode(ExchangeList{
         directory, version, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, readiness, 2, Span::ms(20)}}, {}});
-    office.take(Instant::ms(at), fleet.directory,
-                std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
+    office.receive(Instant::ms(at), fleet.directory,
+                   std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
   };
   take(1000, 50, 7, Readiness::ready);
   take(2000, 40, 1, Readiness::draining);  // may be late: the other was heard a second ago
@@ -424,94 +425,94 @@
   CHECK(office.told(1) == Readiness::draining);
   take(19500, 40, 18, Readiness::ready);  // its own order holds
   CHECK(office.told(1) == Readiness::draining);
-  CHECK(office.tally().listsStale == 3);
+  CHECK(office.counters().listsStale == 3);
 }
 
 TEST_CASE("an exchange that rings three hundred times is passed on once, and its answer is heard") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Telephone bell(3);
-  town.stage().remove(day::processorIdentity(1));
-  town.run(5);
-  town.stage().place(day::processorIdentity(1), bell);
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  TestPhone bell(3);
+  fixture.testbed().remove(day::processorIdentity(1));
+  fixture.run(5);
+  fixture.testbed().place(day::processorIdentity(1), bell);
+  Dialler callers(fixture);
   callers.dial(0, "210001");
-  town.run(100);
+  fixture.run(100);
   REQUIRE(bell.calls.size() == 1);
-  bell.endpoint().send(town.now(), *bell.calls[0], iax2::Iax::ACCEPT);
+  bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Iax::ACCEPT);
   for (int i = 0; i < 300; ++i) {
-    bell.endpoint().send(town.now(), *bell.calls[0], iax2::Control::ringing);
+    bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Control::ringing);
     if (i % 50 == 49) {
-      town.stage().nudge(day::processorIdentity(1));
-      town.run(15);  // acknowledged before the next fifty
+      fixture.testbed().wakeUp(day::processorIdentity(1));
+      fixture.run(15);  // acknowledged before the next fifty
     }
   }
-  bell.endpoint().send(town.now(), *bell.calls[0], iax2::Control::answer);
-  town.stage().nudge(day::processorIdentity(1));
-  town.run(100);
+  bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Control::answer);
+  fixture.testbed().wakeUp(day::processorIdentity(1));
+  fixture.run(100);
   CHECK(callers.phone.count("RINGING") == 1);
   CHECK(callers.phone.count("ANSWER") == 1);
-  town.stage().remove(day::processorIdentity(1));
-  town.run(10);
+  fixture.testbed().remove(day::processorIdentity(1));
+  fixture.run(10);
 }
 
 TEST_CASE("signs of life that waited in a frozen office say nothing of what was opened since") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   // The other office answers, dies and is back while this one stands still: both signs of life wait there, and a NEW.
   bool slow = true, asked = false;
-  town.between([&](int from, int to, const iax2::Frame& frame) {
+  fixture.between([&](int from, int to, const iax2::Frame& frame) {
     asked = asked || (from == 0 && to == 1 && frame.is(iax2::Iax::POKE));
     const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
     return std::vector<Span>{Span::ms(sign && slow ? 400 : 5)};
   });
-  for (int i = 0; i < 1500 && !asked; ++i) town.run(1);
+  for (int i = 0; i < 1500 && !asked; ++i) fixture.run(1);
   REQUIRE(asked);
-  town.run(100);
+  fixture.run(100);
   slow = false;
-  town.freeze(0, true);
-  town.note("kill e2");
-  town.stage().killOffice(1);
-  town.run(50);
-  town.note("start e2");
-  town.stage().startOffice(1, 70);
-  town.run(800);
+  fixture.freeze(0, true);
+  fixture.note("kill e2");
+  fixture.testbed().killOffice(1);
+  fixture.run(50);
+  fixture.note("start e2");
+  fixture.testbed().startOffice(1, 70);
+  fixture.run(800);
   callers.dial(0, "210001");
-  town.run(700);
-  town.freeze(0, false);
-  town.run(4000);
+  fixture.run(700);
+  fixture.freeze(0, false);
+  fixture.run(4000);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(town.account(0, "invites") == 1);
-  CHECK(town.account(0, "reset") == 0);
-  CHECK(town.findings().kept());
+  CHECK(fixture.account(0, "invites") == 1);
+  CHECK(fixture.account(0, "reset") == 0);
+  CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("late copies of a peer's last sign of life neither keep it alive nor bring it back") {
-  Town town(smallFleet(2, 10));
-  town.open();
-  Dialler callers(town);
+  FleetFixture fixture(smallFleet(2, 10));
+  fixture.open();
+  Dialler callers(fixture);
   bool parted = false;
-  town.between([&](int from, int, const iax2::Frame& frame) {
+  fixture.between([&](int from, int, const iax2::Frame& frame) {
     if (parted) return std::vector<Span>();
     const bool sign = from == 1 && frame.is(iax2::Iax::PONG);
     return sign ? std::vector<Span>{Span::ms(5), Span::ms(5500), Span::ms(9000)} : std::vector<Span>{Span::ms(5)};
   });
   callers.dial(0, "210001");
-  town.run(1500);
+  fixture.run(1500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
   parted = true;
   const auto silent = [&] {
-    return boost::json::parse(town.stage().ask(0, "thistlefold status 1\n").value())
+    return boost::json::parse(fixture.testbed().ask(0, "thistlefold status 1\n").value())
         .at("exchanges")
         .at(1)
         .at("silent")
         .as_bool();
   };
   // Six seconds after the last POKE that was answered, and at most one POKE more.
-  town.run(7200);
+  fixture.run(7200);
   CHECK(silent());
-  CHECK(town.account(0, "cut") == 1);
-  town.run(2500);
+  CHECK(fixture.account(0, "cut") == 1);
+  fixture.run(2500);
   CHECK(silent());
 }
--- a/tests/program/platform.cpp
+++ b/tests/program/platform.cpp
@@ -62,7 +62,7 @@
     return read;
   }
   explicit Bench(int descriptors = 256, std::size_t memory = 32 << 20)
-      : office(with(descriptors, memory), now, *this, openOffice, [](std::string_view) {}) {
+      : office(with(descriptors, memory), now, *this, makeController, [](std::string_view) {}) {
     pass(250);
     raiseAll();
     pass(25);
@@ -92,14 +92,14 @@
   }
   void pass(double ms) {
     for (const Instant end = now + Span::ms(ms); now < end;) {
-      now = std::min(end, std::max(office.nextTurn(), now + Span::ms(1)));
-      office.turn(now);
+      now = std::min(end, std::max(office.nextDeadline(), now + Span::ms(1)));
+      office.process(now);
     }
   }
   void tell(Wire& wire, std::string line) {
     if (line.find("\"id\":\"\",") != std::string::npos) line.replace(line.find("\"id\":\"\","), 8, "");
     office.read(now, wire, line + "\n");
-    if (!wire.closed) office.turn(now);
+    if (!wire.closed) office.process(now);
   }
   Wire& caller() {
     wires.push_back(std::make_unique<Wire>());
@@ -195,9 +195,9 @@
   }
   REQUIRE(events.size() == 2);
   CHECK(events[0].number == 8);
-  CHECK(events[0].places[0].listing.id == 0xc41f7a);
-  CHECK(events[0].places[0].listing.place == 2);
-  CHECK(events[0].places[0].listing.readiness == Readiness::draining);
+  CHECK(events[0].places[0].entry.id == 0xc41f7a);
+  CHECK(events[0].places[0].entry.place == 2);
+  CHECK(events[0].places[0].entry.readiness == Readiness::draining);
   CHECK(events[0].places[0].address == kFirst);
   CHECK(events[1].places.empty());
   for (const std::string& bad :
--- a/tests/program/settings.cpp
+++ b/tests/program/settings.cpp
@@ -19,7 +19,7 @@
     } else {
       readFleet(form);
     }
-  } catch (const Wrong& wrong) {
+  } catch (const SettingsError& wrong) {
     return wrong.what();
   }
   return "";
@@ -47,7 +47,7 @@
   CHECK(fleet.circuits(1, 0) == 10);
   CHECK(fleet.destination("2155") == 1);
   CHECK(fleet.destination("99") == -1);
-  CHECK(fleet.data.clearWait == Span::ms(300));
+  CHECK(fleet.data.releaseTime == Span::ms(300));
   const std::string text = writeFleet(fleet);
   const Document again = Document::parse("g", text);
   CHECK(writeFleet(readFleet(again.forms().front())) == text);
@@ -112,9 +112,9 @@
                  ") (length 5000) (fleet (service call) (mesh 9)) (at (between 0 4000) (hang (any 3) 100)))");
     return day::readDay(document.forms().front(), ".");
   };
-  CHECK(plan(1).troubles[0].places == plan(1).troubles[0].places);
-  CHECK(plan(1).troubles[0].at == plan(1).troubles[0].at);
-  CHECK(plan(1).troubles[0].at != plan(2).troubles[0].at);
+  CHECK(plan(1).faults[0].places == plan(1).faults[0].places);
+  CHECK(plan(1).faults[0].at == plan(1).faults[0].at);
+  CHECK(plan(1).faults[0].at != plan(2).faults[0].at);
   const auto a = day::traffic(plan(3)), b = day::traffic(plan(3));
   REQUIRE(a.size() == b.size());
   REQUIRE(a.size() > 50);
--- a/tests/program/streams.cpp
+++ b/tests/program/streams.cpp
@@ -89,17 +89,17 @@
 };
 
 /// One softswitch with one exchange beside its own, whose connections and bulletin are this test's.
-struct Town {
-  explicit Town(int descriptors = 256, const std::string& limit = "9000")
+struct SoftswitchFixture {
+  explicit SoftswitchFixture(int descriptors = 256, const std::string& limit = "9000")
       : clock(net::realClock(context.get_executor())),
         deployment(readDeployment(text(descriptors, limit))),
         streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections)),
-        office(deployment, clock->now(), streams, openOffice, [](std::string_view) {}),
+        office(deployment, clock->now(), streams, makeController, [](std::string_view) {}),
         port(streams.listen({INADDR_LOOPBACK, 0}).port) {
     streams.attend(office, [this](const char* what) { fault = what; });
     until([this] { return standing("sides=1"); });
   }
-  ~Town() { CHECK(fault.empty()); }
+  ~SoftswitchFixture() { CHECK(fault.empty()); }
   std::string text(int descriptors, const std::string& limit) const {
     return R"({"name":"n1","listen":"127.0.0.1:0","seed":"8c1f","limits":{"memory_mb":32,"sockets":)" +
            std::to_string(descriptors) + R"(},"bulletin":"127.0.0.1:)" + std::to_string(bulletin.port) +
@@ -146,7 +146,7 @@
   Listener exchange, bulletin;
   std::unique_ptr<net::Clock> clock;
   Deployment deployment;
-  net::Streams streams;
+  net::StreamRunner streams;
   Softswitch office;
   std::uint16_t port;
   std::vector<Socket> sides, watches;
@@ -158,88 +158,88 @@
 TEST_CASE("streams: a set-up whose caller closed, half-closed, reset or gave up behind it is never sent on") {
   for (const int how : {0, 1, 2, 3, 4}) {
     CAPTURE(how);
-    Town town;
-    Socket caller = Socket::to(town.port);
-    caller.send(Town::setUp(kOne));
+    SoftswitchFixture fixture;
+    Socket caller = Socket::to(fixture.port);
+    caller.send(SoftswitchFixture::setUp(kOne));
     if (how == 0) caller.close();
     if (how == 1) caller.halfClose();
     if (how == 2) caller.reset();
-    if (how == 3) caller.send(Town::release(kOne));
+    if (how == 3) caller.send(SoftswitchFixture::release(kOne));
     if (how == 4) {
       // More than one buffer of it lies between the set-up and its end.
-      for (int i = 0; i < 3; ++i) caller.send(Town::setUp(kTwo.substr(2) + std::to_string(10 + i), 12000));
+      for (int i = 0; i < 3; ++i) caller.send(SoftswitchFixture::setUp(kTwo.substr(2) + std::to_string(10 + i), 12000));
       caller.close();
     }
     // Another caller behind it, to know that the softswitch has been through all of it.
-    Socket other = Socket::to(town.port);
-    other.send(Town::setUp(kTwo));
-    REQUIRE(town.until([&] { return town.heardOf(kTwo); }));
-    CHECK(!town.heardOf(kOne));
+    Socket other = Socket::to(fixture.port);
+    other.send(SoftswitchFixture::setUp(kTwo));
+    REQUIRE(fixture.until([&] { return fixture.heardOf(kTwo); }));
+    CHECK(!fixture.heardOf(kOne));
   }
 }
 
 TEST_CASE("streams: connections that are only being closed leave room for the bulletin, exchanges and callers") {
-  Town town(64);
+  SoftswitchFixture fixture(64);
   std::vector<Socket> bad;
   // Each is told that it can't be used, does not close, and so lingers; the system's queue holds the rest.
   for (int i = 0; i < 60; ++i) {
-    bad.push_back(Socket::to(town.port));
+    bad.push_back(Socket::to(fixture.port));
     bad.back().send("noise\n");
   }
-  REQUIRE(town.until([&] { return town.office.counts().unusable >= 60; }));
-  CHECK(town.streams.held() <= static_cast<std::size_t>(town.deployment.connections));
-  town.watches.clear();
-  CHECK(town.until([&] { return !town.watches.empty(); }));  // asked again
-  Socket usual = Socket::to(town.port);
-  usual.send(Town::setUp(kOne));
-  CHECK(town.until([&] { return town.heardOf(kOne); }));
+  REQUIRE(fixture.until([&] { return fixture.office.counts().unusable >= 60; }));
+  CHECK(fixture.streams.held() <= static_cast<std::size_t>(fixture.deployment.connections));
+  fixture.watches.clear();
+  CHECK(fixture.until([&] { return !fixture.watches.empty(); }));  // asked again
+  Socket usual = Socket::to(fixture.port);
+  usual.send(SoftswitchFixture::setUp(kOne));
+  CHECK(fixture.until([&] { return fixture.heardOf(kOne); }));
 }
 
 TEST_CASE("streams: connections that were closed and have gone are forgotten") {
-  Town town;
-  REQUIRE(town.until([&] { return !town.watches.empty(); }));  // all that the softswitch dials by itself stands
-  const std::size_t before = town.streams.held();
+  SoftswitchFixture fixture;
+  REQUIRE(fixture.until([&] { return !fixture.watches.empty(); }));  // all that the softswitch dials by itself stands
+  const std::size_t before = fixture.streams.held();
   for (std::uint64_t i = 1; i <= 40; ++i) {
-    Socket bad = Socket::to(town.port);
+    Socket bad = Socket::to(fixture.port);
     bad.send("noise\n");
-    REQUIRE(town.until([&] { return town.office.counts().unusable >= i; }));
+    REQUIRE(fixture.until([&] { return fixture.office.counts().unusable >= i; }));
     bad.close();
-    REQUIRE(town.until([&] { return town.streams.held() <= before; }));
+    REQUIRE(fixture.until([&] { return fixture.streams.held() <= before; }));
   }
-  CHECK(town.streams.closing() <= 2);
+  CHECK(fixture.streams.closing() <= 2);
 }
 
 TEST_CASE("streams: idle callers fill their share, and a set-up that lies unread is not closed with its connection") {
-  Town town(64);
+  SoftswitchFixture fixture(64);
   std::vector<Socket> idle;
-  for (int i = 0; i < 24; ++i) idle.push_back(Socket::to(town.port));
-  REQUIRE(town.until([&] { return town.standing("callers=24 "); }));
+  for (int i = 0; i < 24; ++i) idle.push_back(Socket::to(fixture.port));
+  REQUIRE(fixture.until([&] { return fixture.standing("callers=24 "); }));
   // The longest silent one speaks, and as many others come as there is room for, before the softswitch runs again.
-  idle.front().send(Town::setUp(kOne));
-  for (int i = 0; i < 10; ++i) idle.push_back(Socket::to(town.port));
-  REQUIRE(town.until([&] { return town.heardOf(kOne); }));
+  idle.front().send(SoftswitchFixture::setUp(kOne));
+  for (int i = 0; i < 10; ++i) idle.push_back(Socket::to(fixture.port));
+  REQUIRE(fixture.until([&] { return fixture.heardOf(kOne); }));
   CHECK(!idle.front().ended());
-  CHECK(town.standing("callers=24 "));
+  CHECK(fixture.standing("callers=24 "));
 }
 
 TEST_CASE("streams: after a planned restart's last answer nothing that was sent is lost, and nobody is let in") {
-  Town town(256, "100");
-  Socket caller = Socket::to(town.port);
-  town.office.stop(town.clock->now());
-  caller.send(Town::setUp(kOne));
-  REQUIRE(town.until([&] { return town.heardOf(kOne); }));
-  REQUIRE(town.until([&] { return town.office.stopped(town.clock->now()); }));
+  SoftswitchFixture fixture(256, "100");
+  Socket caller = Socket::to(fixture.port);
+  fixture.office.stop(fixture.clock->now());
+  caller.send(SoftswitchFixture::setUp(kOne));
+  REQUIRE(fixture.until([&] { return fixture.heardOf(kOne); }));
+  REQUIRE(fixture.until([&] { return fixture.office.stopped(fixture.clock->now()); }));
   // What comes while it ends lies unread; a close there and then would be a reset, which takes the answer along.
-  caller.send(Town::setUp(kTwo));
-  CHECK(!town.office.stopped(town.clock->now()));
-  REQUIRE(town.until([&] { return town.office.stopped(town.clock->now()); }));
-  town.streams.deafen();
-  town.office.part(town.clock->now());
+  caller.send(SoftswitchFixture::setUp(kTwo));
+  CHECK(!fixture.office.stopped(fixture.clock->now()));
+  REQUIRE(fixture.until([&] { return fixture.office.stopped(fixture.clock->now()); }));
+  fixture.streams.deafen();
+  fixture.office.part(fixture.clock->now());
   CHECK(::connect(::socket(AF_INET, SOCK_STREAM, 0), nullptr, 0) != 0);
   std::string said;
-  CHECK(town.until([&] { return (said += caller.take(), caller.ended()); }));
+  CHECK(fixture.until([&] { return (said += caller.take(), caller.ended()); }));
   CHECK(said.find("\"release\",\"id\":\"" + kOne) != std::string::npos);
   CHECK(said.find("\"release\",\"id\":\"" + kTwo) != std::string::npos);
   caller.close();
-  CHECK(town.until([&] { return town.streams.held() == 0; }));
+  CHECK(fixture.until([&] { return fixture.streams.held() == 0; }));
 }
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -13,17 +13,17 @@
 
 using namespace thistlefold;
 using namespace thistlefold::zones;
+using test::FleetFixture;
 using test::smallFleet;
-using test::Telephone;
-using test::Town;
+using test::TestPhone;
 
 namespace {
 
 template <std::size_t N>
-Sums sumOf(const Ring<N>& ring, std::uint64_t from, std::uint64_t to) {
-  Sums all;
+UsageTotals sumOf(const Ring<N>& ring, std::uint64_t from, std::uint64_t to) {
+  UsageTotals all;
   for (std::uint64_t i = from; i <= to; ++i) {
-    if (const Sums* one = ring.find(i)) all += *one;
+    if (const UsageTotals* one = ring.find(i)) all += *one;
   }
   return all;
 }
@@ -31,7 +31,7 @@
 }  // namespace
 
 TEST_CASE("sums over seconds, minutes, hours and the total agree to the unit") {
-  Cell cell;
+  UsageCell cell;
   std::mt19937 chance(4);
   Instant now = Instant::ms(1000);
   std::vector<int> held;
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("what leaves the ring leaves it whole, and an idle hour costs nothing") {
-  Cell cell;
+  UsageCell cell;
   cell.invited(Instant::ms(1500), 2);
   cell.released(Instant::ms(2500), 2);
   cell.settle(Instant::ms(7.2e6));
@@ -91,21 +91,21 @@
   fleet.places[1].zone = "away";
   fleet.places[2].zone = "far";
   fleet.groups = {{0, 1, 10}, {1, 2, 10}};
-  Town town(fleet, openOffice, "zones");
-  town.open();
-  Telephone phone(99);
-  town.stage().place(day::kCallers, phone);
-  iax2::Call* direct = phone.dial(town.now(), town.office(0), "210001", Span::ms(3000), "wide");
-  iax2::Call* over = phone.dial(town.now(), town.office(0), "220001");
-  town.stage().nudge(day::kCallers);
-  town.run(1000);
+  FleetFixture fixture(fleet, makeController, "zones");
+  fixture.open();
+  TestPhone phone(99);
+  fixture.testbed().place(day::kCallers, phone);
+  iax2::Call* direct = phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "wide");
+  iax2::Call* over = phone.dial(fixture.now(), fixture.office(0), "220001");
+  fixture.testbed().wakeUp(day::kCallers);
+  fixture.run(1000);
   REQUIRE(phone.count("ANSWER") == 2);
-  phone.endpoint().hangUp(town.now(), *direct, iax2::Iax::HANGUP, {});
-  phone.endpoint().hangUp(town.now(), *over, iax2::Iax::HANGUP, {});
-  town.stage().nudge(day::kCallers);
-  town.run(1000);
+  phone.endpoint().hangUp(fixture.now(), *direct, iax2::Iax::HANGUP, {});
+  phone.endpoint().hangUp(fixture.now(), *over, iax2::Iax::HANGUP, {});
+  fixture.testbed().wakeUp(day::kCallers);
+  fixture.run(1000);
   const auto read = [&](int place) {
-    return boost::json::parse(town.stage().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array();
+    return boost::json::parse(fixture.testbed().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array();
   };
   const auto first = read(0), second = read(1);
   REQUIRE(first.size() == 2);
@@ -124,12 +124,12 @@
   // Four circuits for a little over a second.
   CHECK(first[1].at("circuit_us").as_int64() > 4000000);
   CHECK(first[1].at("circuit_us").as_int64() < 4200000);
-  const auto findings = town.findings();
-  CHECK(findings.crossed.at({"home", "away", "call", "first"}) == audit::Crossed{1, 1});
-  CHECK(findings.crossed.at({"away", "far", "call", "second"}) == audit::Crossed{1, 1});
+  const auto findings = fixture.findings();
+  CHECK(findings.crossed.at({"home", "away", "call", "first"}) == audit::ZoneLegCounts{1, 1});
+  CHECK(findings.crossed.at({"away", "far", "call", "second"}) == audit::ZoneLegCounts{1, 1});
   CHECK(findings.kept());
-  town.stage().remove(day::kCallers);
-  town.run(10);
+  fixture.testbed().remove(day::kCallers);
+  fixture.run(10);
 }
 
 namespace {
@@ -231,21 +231,21 @@
   const iax2::Address callers{2, 2}, other{3, 3};
   fleet.places[1].office = other;
   fleet.directory = {9, 9};
-  Office office(fleet, OfficeSetting(), Instant::ms(1000));
+  Office office(fleet, OfficeOptions(), Instant::ms(1000));
   ExchangeList list{1, 1, true, {{0, Readiness::ready, 1, Span::ms(1e6)}, {1, Readiness::ready, 1, Span::ms(1e6)}}, {}};
   const std::string text = encode(list);
   Instant now = Instant::ms(1000);
-  office.take(now, fleet.directory, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
-  Telephone phone(4), peer(5);
+  office.receive(now, fleet.directory, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
+  TestPhone phone(4), peer(5);
   std::set<iax2::Call*> answered;
   const auto pass = [&] {
     for (int i = 0; i < 4; ++i) {
       now = now + Span::ms(1);
-      phone.turn(now, [&](iax2::Address, iax2::Bytes bytes) { office.take(now, callers, bytes); });
-      peer.turn(now, [&](iax2::Address, iax2::Bytes bytes) { office.take(now, other, bytes); });
-      office.turn(now, [&](iax2::Address to, iax2::Bytes bytes) {
-        if (to == callers) phone.take(now, {1, 1}, bytes);
-        if (to == other) peer.take(now, {1, 1}, bytes);
+      phone.process(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, callers, bytes); });
+      peer.process(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, other, bytes); });
+      office.process(now, [&](iax2::Address to, iax2::Bytes bytes) {
+        if (to == callers) phone.receive(now, {1, 1}, bytes);
+        if (to == other) peer.receive(now, {1, 1}, bytes);
       });
       for (iax2::Call* call : std::vector(peer.calls.begin(), peer.calls.end())) {
         if (!answered.insert(call).second) continue;
@@ -317,20 +317,20 @@
 }
 
 TEST_CASE("what a far end saw of an office that was started anew counts once, from then on") {
-  Mirrors mirrors;
-  const Key key{0, 1, 0, Way::direct};
-  mirrors.of(3, 100, key).invites += 5;
-  CHECK(mirrors.inherited().empty());
-  mirrors.started(3, 100);
-  CHECK(mirrors.inherited().empty());
-  mirrors.started(3, 200);
-  CHECK(mirrors.inherited().at(key).invites == 5);
+  PeerUsage peerUsage;
+  const Key key{0, 1, 0, LegKind::direct};
+  peerUsage.of(3, 100, key).invites += 5;
+  CHECK(peerUsage.inherited().empty());
+  peerUsage.started(3, 100);
+  CHECK(peerUsage.inherited().empty());
+  peerUsage.started(3, 200);
+  CHECK(peerUsage.inherited().at(key).invites == 5);
   // A NEW of the earlier start that was late on its way is in nobody else's account.
-  mirrors.of(3, 100, key).invites += 1;
-  mirrors.of(3, 200, key).invites += 7;
-  CHECK(mirrors.inherited().at(key).invites == 6);
-  mirrors.started(3, 300);
-  CHECK(mirrors.inherited().at(key).invites == 13);
+  peerUsage.of(3, 100, key).invites += 1;
+  peerUsage.of(3, 200, key).invites += 7;
+  CHECK(peerUsage.inherited().at(key).invites == 6);
+  peerUsage.started(3, 300);
+  CHECK(peerUsage.inherited().at(key).invites == 13);
 }
 
 TEST_CASE("a tandem in a third zone: each leg takes of the budget of its own pair, by the office that sends it") {
@@ -342,17 +342,19 @@
   first.to = 1, first.circuits = 9, first.classes.resize(2);
   second.from = 1, second.to = 2, second.circuits = 4, second.classes.resize(2);
   fleet.budgets = {first, second};
-  Town town(fleet, openOffice, "zones-third");
-  town.open();
-  Telephone phone(99);
-  town.stage().place(day::kCallers, phone);
+  FleetFixture fixture(fleet, makeController, "zones-third");
+  fixture.open();
+  TestPhone phone(99);
+  fixture.testbed().place(day::kCallers, phone);
   for (int i = 0; i < 8; ++i) {
-    phone.dial(town.now(), town.office(0), "22000" + std::to_string(i));
-    town.stage().nudge(day::kCallers);
-    town.run(3000);
+    phone.dial(fixture.now(), fixture.office(0), "22000" + std::to_string(i));
+    fixture.testbed().wakeUp(day::kCallers);
+    fixture.run(3000);
   }
   const auto budget = [&](int place) {
-    return boost::json::parse(town.stage().ask(place, "thistlefold zones 1\n").value()).at("budgets").as_array()[0];
+    return boost::json::parse(fixture.testbed().ask(place, "thistlefold zones 1\n").value())
+        .at("budgets")
+        .as_array()[0];
   };
   // The module keeps two-leg sessions off the last circuits of what it is shown.
   const auto stand = static_cast<std::int64_t>(phone.count("ANSWER"));
@@ -361,7 +363,7 @@
   CHECK(budget(0).at("held").as_int64() == stand);
   CHECK(budget(1).at("held").as_int64() == stand);
   CHECK(budget(1).at("part").as_int64() == 4);
-  CHECK(town.findings().kept());
-  town.stage().remove(day::kCallers);
-  town.run(10);
+  CHECK(fixture.findings().kept());
+  fixture.testbed().remove(day::kCallers);
+  fixture.run(10);
 }
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -21,7 +21,7 @@
   using std::runtime_error::runtime_error;
 };
 
-class Scenario final : public Arrivals, public Writer {
+class Scenario final : public RoundEvents, public DecisionSink {
  public:
   void line(const std::string& text) {
     std::istringstream statements(text[0] == '#' ? "" : text);
@@ -56,7 +56,7 @@
   void finish() {
     if (events_.empty() && !checked_) return;
     if (controller_ == nullptr) {
-      controller_ = openOffice(data_, 1);
+      controller_ = makeController(data_, 1);
       events_.insert(events_.begin(), exchangesListed_.begin(), exchangesListed_.end());
     }
     round();
@@ -70,11 +70,11 @@
   void invite(const Session& session, const Exchange& to, Span giveUpAfter) override {
     decide("invite ", name(sessions_, session), ' ', name(exchanges_, to), ' ', giveUpAfter.ms());
   }
-  void busy(const Session& session, Span retryAfter) override {
+  void rejectBusy(const Session& session, Span retryAfter) override {
     decide("busy ", name(sessions_, session), ' ', retryAfter.ms());
   }
-  void surrender(const Session& session) override { decide("surrender ", name(sessions_, session)); }
-  void wakeIn(Span delay) override { wakeAt_ = std::min(wakeAt_, now_ + delay); }
+  void failUncertain(const Session& session) override { decide("surrender ", name(sessions_, session)); }
+  void scheduleWakeUp(Span delay) override { wakeAt_ = std::min(wakeAt_, now_ + delay); }
   void subscribe() override { decide("subscribe"); }
 
  private:
@@ -89,8 +89,8 @@
     Exchange& made = exchanges_[key];
     made.place = static_cast<int>(exchanges_.size());
     exchangesListed_.push_back([&made, free, size](Controller& controller) {
-      controller.listed(made, Readiness::ready, Instant::longAgo());
-      if (size >= 0) controller.circuits(made, free, size);
+      controller.exchangeListed(made, Readiness::ready, Instant::longAgo());
+      if (size >= 0) controller.circuitsChanged(made, free, size);
     });
   }
   template <typename... Parts>
@@ -153,7 +153,7 @@
       Exchange& made = exchanges_[word(words)];
       made.own = true;
       exchangesListed_.push_back(
-          [&made](Controller& controller) { controller.listed(made, Readiness::ready, Instant::longAgo()); });
+          [&made](Controller& controller) { controller.exchangeListed(made, Readiness::ready, Instant::longAgo()); });
     } else if (verb == "pools") {
       data_.pools = true;
     } else if (verb == "skill") {
@@ -164,20 +164,20 @@
     } else if (verb == "invites") {
       data_.maxInvites = static_cast<int>(number(words));
     } else if (verb == "clear-wait") {
-      data_.clearWait = span(words);
+      data_.releaseTime = span(words);
     } else if (verb == "repeat") {
-      data_.repeatAfter = span(words);
+      data_.retransmitAfter = span(words);
     } else if (verb == "retry-after") {
-      data_.takesRetryAfter = true;
+      data_.honoursRetryAfter = true;
       data_.longestRetryAfter = span(words);
     } else if (verb == "cold") {
-      data_.coldFrom = number(words);
-      data_.fallMultiple = number(words);
-      data_.tipAfter = span(words);
-      data_.warmAfter = span(words);
+      data_.coldCapacityShare = number(words);
+      data_.overloadFactor = number(words);
+      data_.overloadWindow = span(words);
+      data_.warmUpTime = span(words);
     } else if (verb == "ask-within") {
       data_.mustSubscribe = true;
-      data_.askWithin = span(words);
+      data_.listStaleAfter = span(words);
     } else {
       return false;
     }
@@ -204,23 +204,23 @@
         throw Malformed("not understood: " + mark);
       }
     }
-    events_.push_back([&made](Controller& controller) { controller.incoming(made); });
+    events_.push_back([&made](Controller& controller) { controller.sessionArrived(made); });
   }
 
   // ended SESSION EXCHANGE HOW [WAIT]
   void end(std::istream& words) {
-    static const std::map<std::string, std::pair<Ending, Reason>> hows{
-        {"ok", {Ending::ok, Reason::none}},
-        {"timed-out", {Ending::timedOut, Reason::none}},
-        {"reset", {Ending::reset, Reason::none}},
-        {"cut", {Ending::reset, Reason::none}},
-        {"unreachable", {Ending::unreachable, Reason::none}},
-        {"line-busy", {Ending::fault, Reason::lineBusy}},
-        {"no-circuit", {Ending::moot, Reason::noCircuit}},
-        {"no-agent", {Ending::full, Reason::noCircuit}},
-        {"turned-back", {Ending::full, Reason::turnedBack}},
-        {"far-processor-full", {Ending::full, Reason::turnedBack}},
-        {"processor-full", {Ending::full, Reason::processorFull}}};
+    static const std::map<std::string, std::pair<InviteOutcome, BlockingReason>> hows{
+        {"ok", {InviteOutcome::released, BlockingReason::none}},
+        {"timed-out", {InviteOutcome::timedOut, BlockingReason::none}},
+        {"reset", {InviteOutcome::reset, BlockingReason::none}},
+        {"cut", {InviteOutcome::reset, BlockingReason::none}},
+        {"unreachable", {InviteOutcome::unreachable, BlockingReason::none}},
+        {"line-busy", {InviteOutcome::failed, BlockingReason::lineBusy}},
+        {"no-circuit", {InviteOutcome::notSent, BlockingReason::noCircuit}},
+        {"no-agent", {InviteOutcome::overloaded, BlockingReason::noCircuit}},
+        {"turned-back", {InviteOutcome::overloaded, BlockingReason::turnedBack}},
+        {"far-processor-full", {InviteOutcome::overloaded, BlockingReason::turnedBack}},
+        {"processor-full", {InviteOutcome::overloaded, BlockingReason::processorFull}}};
     Session& which = session(words);
     Exchange& at = exchange(words);
     const std::string how = word(words);
@@ -230,7 +230,7 @@
     const bool far = how == "far-processor-full";
     const bool final = how == "ok" || how == "cut";
     events_.push_back([&which, &at, ending = ending, reason = reason, far, told, final](Controller& controller) {
-      controller.ended(which, at, ending, reason, far, told, final);
+      controller.inviteEnded(which, at, ending, reason, far, told, final);
     });
   }
 
@@ -239,30 +239,30 @@
       take(words);
     } else if (verb == "again") {
       Session& which = session(words);
-      events_.push_back([&which](Controller& controller) { controller.incoming(which); });
+      events_.push_back([&which](Controller& controller) { controller.sessionArrived(which); });
     } else if (verb == "accepted") {
       Session& which = session(words);
       const Span delay = span(words);
-      events_.push_back([&which, delay](Controller& controller) { controller.accepted(which, delay); });
+      events_.push_back([&which, delay](Controller& controller) { controller.inviteAccepted(which, delay); });
     } else if (verb == "ended") {
       end(words);
     } else if (verb == "abandoned") {
       Session& which = session(words);
-      events_.push_back([&which](Controller& controller) { controller.abandoned(which); });
+      events_.push_back([&which](Controller& controller) { controller.sessionAbandoned(which); });
     } else if (verb == "circuits") {
       Exchange& which = exchange(words);
       const double free = number(words);
       const double size = number(words);
-      events_.push_back([&which, free, size](Controller& to) { to.circuits(which, free, size); });
+      events_.push_back([&which, free, size](Controller& to) { to.circuitsChanged(which, free, size); });
     } else if (verb == "can-take") {
       Exchange& which = exchange(words);
       const double rate = number(words);
-      events_.push_back([&which, rate](Controller& to) { to.reported(which, rate); });
+      events_.push_back([&which, rate](Controller& to) { to.capacityReported(which, rate); });
     } else if (verb == "ready" || verb == "draining" || verb == "gone") {
       Exchange& which = exchange(words);
       const Instant started = verb == "ready" ? now_ : Instant::longAgo();
       const Readiness now = verb == "ready" ? Readiness::ready : verb == "gone" ? Readiness::gone : Readiness::draining;
-      events_.push_back([&which, now, started](Controller& to) { to.listed(which, now, started); });
+      events_.push_back([&which, now, started](Controller& to) { to.exchangeListed(which, now, started); });
     } else if (verb == "list-failed") {
       events_.push_back([](Controller& controller) { controller.listFailed(); });
     } else if (verb == "wake") {
@@ -272,7 +272,7 @@
     }
   }
 
-  OfficeData data_;
+  OfficeConfig data_;
   std::map<std::string, std::size_t> services_;
   std::map<std::string, Exchange> exchanges_;
   std::map<std::string, Session> sessions_;
@@ -294,8 +294,8 @@
     const std::string rest = text.size() > 2 ? text.substr(2) : "";
     if (text[0] == '<') {
       try {
-        reply_ = drill_.answer(rest);
-      } catch (const drill::WireFault& fault) {
+        reply_ = adapter_.answer(rest);
+      } catch (const bench_adapter::ParseError& fault) {
         reply_ = std::string("! ") + fault.what();
       }
     } else if (text[0] == '>') {
@@ -309,7 +309,7 @@
   int checks() const { return checks_; }
 
  private:
-  drill::Drill drill_;
+  bench_adapter::BenchAdapter adapter_;
   std::string reply_;
   int checks_ = 0;
 };
--- a/tests/wire_histories.cpp
+++ b/tests/wire_histories.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using thistlefold::drill::Drill;
+using thistlefold::bench_adapter::BenchAdapter;
 using thistlefold::test::WireJudge;
 
 // Warm. Three offices dial some 30 sessions a second, so an exchange has 20 set-ups a second at both ends together.
@@ -50,7 +50,7 @@
         if (one.starts_with("{\"INCOMING\"") && lot() < 0.1) events += "," + one;
       }
       const std::string in = "{\"Time\":" + text(now_) + ",\"arrivals\":[" + events + "]}";
-      const std::string out = drill_.answer(in);
+      const std::string out = adapter_.answer(in);
       judge.take(in, out);
       act(out);
       trace << in << '\n' << out << '\n';
@@ -245,7 +245,7 @@
   }
 
   std::mt19937 chance_;
-  Drill drill_;
+  BenchAdapter adapter_;
   double now_ = 1000;
   std::multimap<double, std::string> later_;
   std::vector<std::string> told_;
@@ -314,8 +314,8 @@
     if (!name.starts_with("recorded-") || entry.path().extension() != ".wire") continue;
     ++played;
     WireJudge judge(kSetUpsASecond);
-    Drill drill;
-    for (const std::string& line : lines(entry.path())) judge.take(line.substr(2), drill.answer(line.substr(2)));
+    BenchAdapter adapter;
+    for (const std::string& line : lines(entry.path())) judge.take(line.substr(2), adapter.answer(line.substr(2)));
     CAPTURE(name);
     CAPTURE(judge.first);
     for (int rule = 1; rule <= 5; ++rule) CHECK(judge.broken[rule] == 0);
--- a/tests/wire_judge.hpp
+++ b/tests/wire_judge.hpp
@@ -51,7 +51,7 @@
     std::vector<Invite> invites;
   };
   struct Office {
-    double clearWait = 0, drainGrace = 0, answerSlack = 0;
+    double releaseTime = 0, drainGrace = 0, answerSlack = 0;
     int here = -1;
     std::map<std::string, Session> sessions;
     std::map<unsigned, std::pair<int, double>> readiness;  // as told, and since when
@@ -62,13 +62,13 @@
     std::deque<double> sent;
   };
 
-  void breach(int rule, const std::string& text) {
+  void violation(int rule, const std::string& text) {
     ++broken[rule];
     if (first.empty()) first = std::to_string(now_) + " ms, rule " + std::to_string(rule) + ": " + text;
   }
   void overdue(const std::string& office, const std::string& ticket, Session& one) {
     one.answered = true;  // told once
-    breach(1, office + " gave no final answer to " + ticket);
+    violation(1, office + " gave no final answer to " + ticket);
   }
   static double number(const rapidjson::Value& of, const char* name) {
     return of.HasMember(name) ? of[name].GetDouble() : 0;
@@ -84,7 +84,7 @@
       const auto& conf = fields["Conf"];
       const auto& rules = conf["Obligations"];
       Office office;
-      office.clearWait = conf["FamilyInfo"]["ClearWait"].GetDouble();
+      office.releaseTime = conf["FamilyInfo"]["ClearWait"].GetDouble();
       office.here = conf["FamilyInfo"]["ThisNode"].GetInt();
       office.drainGrace = rules["DrainGrace"].GetDouble();
       office.answerSlack = rules["AnswerSlack"].GetDouble();
@@ -154,31 +154,31 @@
     const std::string name = fields["I"].GetString(), ticket = fields["Ticket"].GetString();
     Office& office = offices_[name];
     const auto known = office.sessions.find(ticket);
-    if (known == office.sessions.end()) return breach(1, name + " acted for " + ticket + ", which it does not hold");
+    if (known == office.sessions.end()) return violation(1, name + " acted for " + ticket + ", which it does not hold");
     Session& one = known->second;
     const bool out = !one.invites.empty() && one.invites.back().out;
     if (kind != "ISSUE") {
-      if (one.answered) breach(1, name + " gave " + ticket + " a second final answer");
-      if (out) breach(1, name + " answered " + ticket + " while an INVITE was out");
+      if (one.answered) violation(1, name + " gave " + ticket + " a second final answer");
+      if (out) violation(1, name + " answered " + ticket + " while an INVITE was out");
       if (now_ > one.deadline + office.answerSlack && !one.answered)
-        breach(1, name + " answered " + ticket + " too late");
+        violation(1, name + " answered " + ticket + " too late");
       one.answered = true;
       ++finals;
       return;
     }
     ++invites;
     const unsigned to = fields["Exchange"].GetUint();
-    if (one.answered) breach(1, name + " sent an INVITE for " + ticket + ", which was answered");
-    if (out) breach(2, name + " sent an INVITE for " + ticket + " while another was out");
+    if (one.answered) violation(1, name + " sent an INVITE for " + ticket + ", which was answered");
+    if (out) violation(2, name + " sent an INVITE for " + ticket + " while another was out");
     for (const Invite& earlier : one.invites) {
-      if (now_ < earlier.releasedAt + office.clearWait)
-        breach(5, name + " sent " + ticket + " again within the release time");
+      if (now_ < earlier.releasedAt + office.releaseTime)
+        violation(5, name + " sent " + ticket + " again within the release time");
     }
     const auto told = office.readiness.find(to);
     if (told == office.readiness.end())
-      breach(3, name + " sent to an exchange that it was never told of");
+      violation(3, name + " sent to an exchange that it was never told of");
     else if (told->second.first != 2 && now_ > told->second.second + office.drainGrace) {
-      breach(3, name + " sent to an exchange that drains or is gone");
+      violation(3, name + " sent to an exchange that drains or is gone");
     }
     one.invites.emplace_back();
     for (auto& [id, exchange] : exchanges_) {
@@ -193,8 +193,8 @@
     while (now_ - exchange.sent.front() > tipAfter_) exchange.sent.pop_front();
     const double canDo = setUpsASecond_ * (coldFrom_ + (1 - coldFrom_) * age / warmAfter_) * tipAfter_ / 1000;
     if (static_cast<double>(exchange.sent.size()) > fallMultiple_ * canDo) {
-      breach(4,
-             "the cold exchange " + std::to_string(id) + " got " + std::to_string(exchange.sent.size()) + " set-ups");
+      violation(
+          4, "the cold exchange " + std::to_string(id) + " got " + std::to_string(exchange.sent.size()) + " set-ups");
     }
   }
 
