--- a/src/platform/bulletin.hpp
+++ b/src/platform/bulletin.hpp
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "iax2/address.hpp"
+#include "wire/exchange_registry.hpp"
 #include "wire/fields.hpp"
-#include "wire/roster.hpp"
 
 namespace thistlefold::platform {
 
 /// Where a listed exchange is reached.
 struct Place {
-  wire::Listing listing;
+  wire::ListEntry entry;
   iax2::Address address;
 };
 
@@ -44,7 +44,7 @@
   bool readable_ = true;
 };
 
-/// The `known` of a configuration. Throws wire::WireFault.
+/// The `known` of a configuration. Throws wire::ParseError.
 std::vector<BulletinEvent> readKnown(const wire::Value& known);
 
 }  // namespace thistlefold::platform
--- /dev/null
+++ b/tests/program/fleet_fixture.hpp
@@ -0,0 +1,284 @@
+#pragma once
+
+// Helpers: a small fleet on the virtual stage, a telephone that speaks IAX2 by hand, controllers that misbehave.
+
+#include <doctest/doctest.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <boost/json.hpp>
+#include <deque>
+#include <filesystem>
+#include <map>
+
+#include "audit/audit.hpp"
+#include "audit/session_trace.hpp"
+#include "day/play.hpp"
+#include "day/testbed.hpp"
+#include "iax2/endpoint.hpp"
+#include "simulators/directory.hpp"
+#include "simulators/exchange.hpp"
+
+namespace thistlefold::test {
+
+inline Fleet smallFleet(int places, int circuits) {
+  Fleet fleet;
+  fleet.offeredServices = {{"call", 1}, {"wide", 4}};
+  Service service;
+  service.value = 1;
+  service.lateValue = 0.25;
+  service.postDialTarget = Span::ms(2000);
+  service.timerLimit = Span::ms(9000);
+  service.meanHold = Span::ms(3000);
+  fleet.data.services = {service, service};
+  fleet.data.maxInvites = 6;
+  fleet.data.honoursRetryAfter = true;
+  fleet.data.longestRetryAfter = Span::ms(2000);
+  fleet.data.releaseTime = Span::ms(300);
+  fleet.data.coldCapacityShare = 0.3;
+  fleet.data.warmUpTime = Span::ms(8000);
+  fleet.data.overloadFactor = 3;
+  fleet.data.overloadWindow = Span::ms(1500);
+  for (int i = 0; i < places; ++i) {
+    Place place;
+    place.name = "e" + std::to_string(i + 1);
+    place.zone = "home";
+    place.numbers = std::to_string(20 + i);
+    place.setUpsASecond = 100;
+    fleet.places.push_back(place);
+    for (int j = 0; j < i; ++j) fleet.groups.push_back({j, i, circuits});
+  }
+  return fleet;
+}
+
+/// What a test dials and answers with. Remembers all it hears.
+class TestPhone final : public DatagramHandler, private iax2::CallListener, private iax2::CallOwner {
+ public:
+  explicit TestPhone(std::uint64_t seed) : endpoint_(*this, seed) {}
+
+  iax2::Call* dial(Instant now, iax2::Address to, const std::string& number, Span limit = Span::ms(3000),
+                   const std::string& service = "call") {
+    iax2::Elements e;
+    e.calledNumber = number;
+    e.calledContext = service;
+    e.timeLeft = static_cast<std::uint32_t>(limit.ms());
+    now_ = now;
+    iax2::Call* call = endpoint_.open(now, to, this, e);
+    if (call != nullptr) dialled.push_back(call);
+    return call;
+  }
+  void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
+    now_ = now;
+    endpoint_.receive(now, from, datagram);
+  }
+  void process(Instant now, const DatagramSender& out) override {
+    endpoint_.expire(now);
+    endpoint_.flush(now, out);
+  }
+  Instant nextDeadline() const override { return endpoint_.nextDue(); }
+  iax2::Endpoint& endpoint() { return endpoint_; }
+
+  int count(const std::string& name) const {
+    const auto it = heard_.find(name);
+    return it == heard_.end() ? 0 : it->second;
+  }
+  int finals() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
+  std::deque<iax2::Call*> calls;    // that came in
+  std::deque<iax2::Call*> dialled;  // from here, and not over yet
+  std::uint64_t lastSession = 0;
+  std::uint8_t lastCause = 0;
+  iax2::CallEnd lastGone = iax2::CallEnd::finished;
+  int goneCount = 0;
+
+ private:
+  void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override {
+    ++heard_["NEW"];
+    lastSession = frame.elements.session.value_or(0);
+    call.setOwner(this);
+    calls.push_back(&call);
+  }
+  void onFrame(iax2::Call&, const iax2::Frame& frame) override {
+    ++heard_[iax2::name(frame)];
+    if (frame.elements.causeCode) lastCause = *frame.elements.causeCode;
+  }
+  void onCallEnded(iax2::Call& call, iax2::CallEnd how) override {
+    std::erase(calls, &call);
+    std::erase(dialled, &call);
+    lastGone = how;
+    ++goneCount;
+  }
+  void onPong(iax2::Address, const iax2::Frame&) override { ++heard_["PONG"]; }
+  iax2::Elements pongElements(iax2::Address) override { return {}; }
+
+  iax2::Endpoint endpoint_;
+  Instant now_;
+  std::map<std::string, int> heard_;
+};
+
+/// A fleet on the virtual stage with a directory, exchanges, and a capture that is audited at the end.
+class FleetFixture {
+ public:
+  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& capture = "town")
+      : path_((std::filesystem::temp_directory_path() /
+               ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng"))
+                  .string()),
+        testbed_(day::virtualTestbed(std::move(fleet), std::move(make))),
+        capture_(path_),
+        directory_(offices(), testbed_->fleet().places.size(), testbed_->now()) {
+    testbed_->setTap(
+        [this](Instant at, iax2::Address from, iax2::Address to, std::span<const std::uint8_t> bytes, bool delivered) {
+          capture_.write({at, delivered, from, to, bytes});
+        });
+    testbed_->setImpairment([this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
+      return impairment ? impairment(from, to, bytes) : std::vector<Span>{Span::ms(5)};
+    });
+    for (std::size_t i = 0; i < testbed_->fleet().places.size(); ++i) exchanges_.push_back(nullptr);
+  }
+  ~FleetFixture() {
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->remove(day::processorIdentity(static_cast<int>(i)));
+    testbed_->remove(day::kDirectory);
+    testbed_->remove(day::kCallers);
+    testbed_->runUntil(testbed_->now() + Span::ms(20));
+    std::filesystem::remove(path_);
+  }
+
+  void open(bool withDirectory = true) {
+    if (withDirectory) testbed_->place(day::kDirectory, directory_);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) exchange(static_cast<int>(i), true);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
+    run(1500);
+  }
+  SimulatedExchange& exchange(int place, bool warm) {
+    auto& at = exchanges_[static_cast<std::size_t>(place)];
+    if (at != nullptr) {
+      testbed_->remove(day::processorIdentity(place));
+      run(5);
+      note("processor-started " + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
+    }
+    ProcessorModel model;
+    model.setUpWork = 10;
+    model.followWork = 3.5;
+    model.turnAwayWork = 2;
+    model.coldCapacityShare = 0.3;
+    model.warmUpTime = Span::ms(8000);
+    at = std::make_unique<SimulatedExchange>(model, 5 + static_cast<std::uint64_t>(place), testbed_->now(), warm);
+    testbed_->place(day::processorIdentity(place), *at);
+    return *at;
+  }
+  SimulatedExchange& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
+  SimulatedDirectory& directory() { return directory_; }
+  void learns(int place, Readiness readiness, std::uint64_t mark) {
+    directory_.learns(testbed_->now(), place, readiness, mark, Span::none());
+    testbed_->wakeUp(day::kDirectory);
+  }
+  day::Testbed& testbed() { return *testbed_; }
+  Instant now() const { return testbed_->now(); }
+  void run(double ms) { testbed_->runUntil(testbed_->now() + Span::ms(ms)); }
+  void note(const std::string& text) { capture_.note(testbed_->now(), text); }
+  void freeze(int place, bool frozen) {
+    note((frozen ? "freeze " : "thaw ") + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
+    testbed_->freezeOffice(place, frozen);
+  }
+  iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
+  /// What `field` of an office's account says.
+  std::int64_t account(int place, const std::string& field) {
+    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
+        .at(field)
+        .to_number<std::int64_t>();
+  }
+  std::int64_t freeCircuits(int place, int other) {
+    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
+        .at("exchanges")
+        .at(static_cast<std::size_t>(other))
+        .at("free")
+        .to_number<std::int64_t>();
+  }
+  audit::Findings findings() {
+    capture_.close();
+    return audit::audit(testbed_->fleet(), path_, testbed_->tolerance());
+  }
+  const std::string& path() const { return path_; }
+
+  net::Impairment impairment;
+  /// Fate of frames between offices, by place; all else takes five milliseconds.
+  void between(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
+    impairment = [this, what = std::move(what)](iax2::Address from, iax2::Address to,
+                                                std::vector<std::uint8_t>& bytes) {
+      const std::vector<iax2::Address> all = offices();
+      const auto a = std::find(all.begin(), all.end(), from), b = std::find(all.begin(), all.end(), to);
+      iax2::Frame frame;
+      if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::DecodeResult::full)
+        return std::vector<Span>{Span::ms(5)};
+      return what(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
+    };
+  }
+
+ private:
+  std::vector<iax2::Address> offices() const {
+    std::vector<iax2::Address> all;
+    for (const Place& place : testbed_->fleet().places) all.push_back(place.office);
+    return all;
+  }
+  std::string path_;
+  std::unique_ptr<day::Testbed> testbed_;
+  capture::Writer capture_;
+  SimulatedDirectory directory_;
+  std::vector<std::unique_ptr<SimulatedExchange>> exchanges_;
+};
+
+/// Sends every session direct at once and again whenever it comes back, whatever it was told. With `twice` it sends
+/// two INVITEs, with `silent` it answers nobody.
+class RogueController final : public Controller {
+ public:
+  struct Ways {
+    bool twice = false, silent = false;
+  };
+  explicit RogueController(Ways ways) : ways_(ways) {}
+
+  void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
+    now_ = now;
+    sink_ = &sink;
+    events.deliver(*this);
+    for (Session* session : std::exchange(inHand_, {})) {
+      if (session->finished) continue;
+      if (session->destination == nullptr || now_ >= session->timerLimit) {
+        session->finished = true;
+        if (!ways_.silent) sink.rejectBusy(*session, Span::none());
+        continue;
+      }
+      if (ways_.silent) continue;
+      sink.invite(*session, *session->destination, Span::ms(400));
+      if (ways_.twice) sink.invite(*session, *session->destination, Span::ms(400));
+    }
+    sink.scheduleWakeUp(Span::ms(100));
+  }
+  void exchangeListed(Exchange& exchange, Readiness readiness, Instant started) override {
+    exchange.readiness = readiness;
+    exchange.started = started;
+  }
+  void listFailed() override {}
+  void circuitsChanged(Exchange&, double, double) override {}
+  void capacityReported(Exchange&, double) override {}
+  void sessionArrived(Session& session) override { inHand_.push_back(&session); }
+  void inviteAccepted(Session& session, Span) override { session.established = true; }
+  void inviteEnded(Session& session, Exchange&, InviteOutcome ending, BlockingReason, bool, Span, bool final) override {
+    if (final || ending == InviteOutcome::released) {
+      session.finished = true;
+    } else {
+      inHand_.push_back(&session);
+    }
+  }
+  void sessionAbandoned(Session& session) override { session.finished = true; }
+
+ private:
+  Ways ways_;
+  Instant now_;
+  DecisionSink* sink_ = nullptr;
+  std::vector<Session*> inHand_;
+};
+
+inline ControllerFactory rogueController(RogueController::Ways ways = {}) {
+  return [ways](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(ways); };
+}
+
+}  // namespace thistlefold::test
