--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -40,7 +40,7 @@
   Span limit;
   std::uint64_t session = 0;
   std::uint16_t officeNumber = 0;
-  bool officeEnded = false, stood = false;
+  bool officeEnded = false, established = false;
   bool crossed = false;  // its answer was on its way in time when the caller left
   Instant finalAt = Instant::never();
   int finalSeq = -1;
@@ -58,7 +58,7 @@
   bool arrived = false;
   bool killed = false;   // over, because the office that had taken it was killed
   bool counted = false;  // its circuits are out
-  bool stood = false;
+  bool established = false;
   int answerSeq = -1;  // of the ANSWER that arrived, heard or not
   Instant overAt;
   ZoneLegCounts* crossed = nullptr;
@@ -70,9 +70,9 @@
 struct CrossedLeg {
   ZoneLeg crossing;
   int from, life;
-  int to, toLife = -1;    // -1: it reached nobody
-  bool stood = false;     // heard by the sender
-  bool answered = false;  // said by the other end
+  int to, toLife = -1;       // -1: it reached nobody
+  bool established = false;  // heard by the sender
+  bool answered = false;     // said by the other end
 };
 
 class Audit {
@@ -127,7 +127,7 @@
       }
       ZoneLegCounts& sums = found_.remembered[leg.crossing];
       ++sums.invites;
-      sums.stood += own ? leg.stood : leg.answered;
+      sums.established += own ? leg.established : leg.answered;
     }
     std::stable_sort(found_.violations.begin(), found_.violations.end(),
                      [](const Violation& a, const Violation& b) { return a.atMs < b.atMs; });
@@ -142,7 +142,7 @@
   };
 
   void violation(int rule, std::uint64_t session, std::string text) {
-    ++found_.broken[rule];
+    ++found_.violationCounts[rule];
     // So many tell what is wrong; the counts go on.
     if (found_.violations.size() < 100) {
       found_.violations.push_back({rule, session, (now_ - begin_).ms(), std::move(text)});
@@ -251,7 +251,7 @@
     const bool answer = frame.is(iax2::Control::answer);
     const bool no = frame.is(Iax::REJECT) || frame.is(Iax::HANGUP);
     if (one.finalAt != Instant::never()) {
-      if (one.stood && no && !one.officeEnded) {
+      if (one.established && no && !one.officeEnded) {
         one.officeEnded = true;  // a standing session that was cut or ended; once, and it may cross the caller's end
         return;
       }
@@ -266,7 +266,7 @@
     }
     one.finalAt = now_;
     one.finalSeq = frame.oseq;
-    one.stood = answer;
+    one.established = answer;
     if (one.session != 0) answered_.insert({office, one.session});
     if (now_ > one.deadline + tolerance_.answer &&
         !within(frozen_[static_cast<std::size_t>(office)], one.delivered, now_)) {
@@ -283,10 +283,10 @@
       ++found_.unreached;
       return;
     }
-    ++found_.tries;
+    ++found_.attempts;
     const auto at = static_cast<std::size_t>(one.office);
     if (one.finalAt != Instant::never()) {
-      ++(one.stood ? found_.stood : found_.refused);
+      ++(one.established ? found_.established : found_.refused);
       return;
     }
     const Instant until = one.deadline == Instant::never() ? now_ : std::min(one.deadline, now_);
@@ -346,12 +346,12 @@
     if (!packet.delivered) {
       Invite* one = find(from, packet.to, frame.source);
       // Nor does an end that came ahead of it undo it.
-      if (one != nullptr && !one->stood && !one->left && one->answerSeq >= 0 &&
+      if (one != nullptr && !one->established && !one->left && one->answerSeq >= 0 &&
           static_cast<std::int8_t>(frame.iseq - one->answerSeq) > 0) {
-        one->stood = true;
+        one->established = true;
         if (one->crossed != nullptr) {
-          ++one->crossed->stood;
-          if (CrossedLeg* leg = legOf(from, packet.to, frame.source)) leg->stood = true;
+          ++one->crossed->established;
+          if (CrossedLeg* leg = legOf(from, packet.to, frame.source)) leg->established = true;
         }
       }
     }
@@ -374,11 +374,11 @@
       if (earlier.to == packet.to && earlier.number == frame.source) return;  // repeated
     }
     ++found_.invites;
-    if (frame.elements.towards && *frame.elements.towards != to) ++found_.twoLeg;
+    if (frame.elements.towards && *frame.elements.towards != to) ++found_.tandemInvites;
     for (const Invite& earlier : all) {
       if (!earlier.over) {
         violation(2, session, "office " + name(from) + " sent an INVITE to " + name(to) + " while another was out");
-      } else if (earlier.mayBeHeld && !earlier.stood &&
+      } else if (earlier.mayBeHeld && !earlier.established &&
                  now_ - earlier.overAt + tolerance_.stamp < fleet_.data.releaseTime) {
         violation(5, session,
                   "office " + name(from) + " sent the session again " +
@@ -394,7 +394,7 @@
     one.number = frame.source;
     one.sent = now_;
     if (const auto crossed = crossing(frame, from, to)) {
-      one.crossed = &found_.crossed[*crossed];
+      one.crossed = &found_.zoneLegs[*crossed];
       ++one.crossed->invites;
       one.pair = {fleet_.places[static_cast<std::size_t>(from)].zone, fleet_.places[static_cast<std::size_t>(to)].zone};
       one.width = frame.elements.width.value_or(1);
@@ -569,14 +569,14 @@
 
 std::string describe(const Findings& f) {
   std::ostringstream out;
-  out << "tries that reached an office  " << f.tries << '\n'
-      << "  stood                       " << f.stood << '\n'
+  out << "tries that reached an office  " << f.attempts << '\n'
+      << "  stood                       " << f.established << '\n'
       << "  refused or failed           " << f.refused << '\n'
       << "  caller left before          " << f.callerLeft << '\n'
       << "  office killed or frozen     " << f.officeDown << '\n'
       << "  without an answer           " << f.unanswered << '\n'
       << "tries that reached none       " << f.unreached << '\n'
-      << "INVITEs                       " << f.invites << ", over a tandem " << f.twoLeg << '\n'
+      << "INVITEs                       " << f.invites << ", over a tandem " << f.tandemInvites << '\n'
       << "datagrams                     " << f.datagrams << '\n'
       << "nearest to the cold limit     " << std::fixed << std::setprecision(0) << 100 * f.nearestToCold << "%\n";
   static constexpr const char* kRules[] = {"",
@@ -587,7 +587,8 @@
                                            "release awaited"};
   for (int rule = 1; rule <= 5; ++rule) {
     out << "rule " << rule << "  " << std::left << std::setw(30) << kRules[rule]
-        << (f.broken[rule] == 0 ? "kept" : "BROKEN " + std::to_string(f.broken[rule]) + " times") << '\n';
+        << (f.violationCounts[rule] == 0 ? "kept" : "BROKEN " + std::to_string(f.violationCounts[rule]) + " times")
+        << '\n';
   }
   for (const Violation& one : f.violations) {
     out << std::right << std::setw(9) << std::setprecision(3) << one.atMs / 1000 << " s  rule " << one.rule
@@ -605,19 +606,20 @@
     violations.push_back(
         json::object{{"rule", one.rule}, {"session", session.str()}, {"at_ms", one.atMs}, {"what", one.text}});
   }
-  json::object out{{"tries", f.tries},
-                   {"stood", f.stood},
+  json::object out{{"tries", f.attempts},
+                   {"stood", f.established},
                    {"refused", f.refused},
                    {"caller_left", f.callerLeft},
                    {"office_down", f.officeDown},
                    {"unanswered", f.unanswered},
                    {"unreached", f.unreached},
                    {"invites", f.invites},
-                   {"two_leg", f.twoLeg},
+                   {"two_leg", f.tandemInvites},
                    {"datagrams", f.datagrams},
                    {"nearest_to_cold", f.nearestToCold},
-                   {"kept", f.kept()},
-                   {"broken", json::array{f.broken[1], f.broken[2], f.broken[3], f.broken[4], f.broken[5]}},
+                   {"kept", f.passed()},
+                   {"broken", json::array{f.violationCounts[1], f.violationCounts[2], f.violationCounts[3],
+                                          f.violationCounts[4], f.violationCounts[5]}},
                    {"breaches", std::move(violations)}};
   return json::serialize(out);
 }
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -24,12 +24,12 @@
   friend auto operator<=>(const ZoneLeg&, const ZoneLeg&) = default;
 };
 struct ZoneLegCounts {
-  std::uint64_t invites = 0, stood = 0;
+  std::uint64_t invites = 0, established = 0;
   friend bool operator==(const ZoneLegCounts&, const ZoneLegCounts&) = default;
 };
 
 struct Findings {
-  std::map<ZoneLeg, ZoneLegCounts> crossed;
+  std::map<ZoneLeg, ZoneLegCounts> zoneLegs;
   /// Of these, what running offices can still account for at the end: all of their own, and of one that was killed
   /// what reached offices that still run. `unaccounted` INVITEs of killed offices are in nobody's account.
   std::map<ZoneLeg, ZoneLegCounts> remembered;
@@ -38,14 +38,17 @@
   std::map<std::pair<std::string, std::string>, std::vector<std::pair<Instant, int>>> out;
   std::map<std::pair<std::string, std::string>, int> peaks;  // most circuits out at once, by ordered pair of zones
   std::vector<Violation> violations;                         // the first hundred, in order of time
-  std::uint64_t broken[6] = {};                              // by rule
+  std::uint64_t violationCounts[6] = {};                     // by rule
   // Tries of callers that reached an office, by how they were answered.
-  std::uint64_t tries = 0, stood = 0, refused = 0, callerLeft = 0, officeDown = 0, unanswered = 0, unreached = 0;
-  std::uint64_t invites = 0, twoLeg = 0, datagrams = 0, lost = 0;
+  std::uint64_t attempts = 0, established = 0, refused = 0, callerLeft = 0, officeDown = 0, unanswered = 0,
+                unreached = 0;
+  std::uint64_t invites = 0, tandemInvites = 0, datagrams = 0, lost = 0;
   double nearestToCold = 0;  // largest share of rule 4's limit that was sent to a cold exchange
-  bool accounted() const { return tries == stood + refused + callerLeft + officeDown + unanswered; }
-  bool kept() const {
-    return broken[1] + broken[2] + broken[3] + broken[4] + broken[5] == 0 && accounted() && unanswered == 0;
+  bool accounted() const { return attempts == established + refused + callerLeft + officeDown + unanswered; }
+  bool passed() const {
+    return violationCounts[1] + violationCounts[2] + violationCounts[3] + violationCounts[4] + violationCounts[5] ==
+               0 &&
+           accounted() && unanswered == 0;
   }
 };
 
--- a/src/command/audit.cpp
+++ b/src/command/audit.cpp
@@ -27,7 +27,7 @@
       if (wanted->session.empty()) {
         const audit::Findings findings = audit::audit(fleet, wanted->capture);
         std::cout << (wanted->json ? audit::json(findings) + "\n" : audit::describe(findings));
-        status = findings.kept() ? 0 : 1;
+        status = findings.passed() ? 0 : 1;
         return;
       }
       if (wanted->session == "list") {
--- a/src/command/day.cpp
+++ b/src/command/day.cpp
@@ -49,14 +49,14 @@
       day::BenchDay drawn;
       if (!wanted->bench.empty()) drawn = day::openBenchDay(wanted->bench, wanted->scale);
       day::DayPlan plan = wanted->bench.empty() ? day::openDay(wanted->path) : std::move(drawn.plan);
-      for (const std::string& left : drawn.left) std::cerr << "no counterpart: " << left << '\n';
+      for (const std::string& left : drawn.unsupported) std::cerr << "no counterpart: " << left << '\n';
       if (command->count("--seed") > 0) plan.seed = wanted->seed;
       std::filesystem::create_directories(wanted->folder);
       const std::string program = std::filesystem::read_symlink("/proc/self/exe").string();
       auto testbed = wanted->inMemory ? day::virtualTestbed(plan.fleet)
                                       : day::loopbackTestbed(plan.fleet, program, wanted->folder);
       std::ofstream identities(wanted->folder + "/identities.sexp");
-      identities << settings::writeFleet(day::identified(plan.fleet));
+      identities << settings::writeFleet(day::withIdentityAddresses(plan.fleet));
       if (!identities.flush()) throw std::runtime_error(wanted->folder + "/identities.sexp: can't be written");
       const day::Report report = day::play(plan, *testbed, wanted->folder + "/day.pcapng");
       std::cout << (wanted->json ? day::json(report) + "\n" : day::describe(report));
--- a/src/command/simulators.cpp
+++ b/src/command/simulators.cpp
@@ -54,8 +54,8 @@
   const Place& place = fleet.places[static_cast<std::size_t>(placeOf(fleet, name))];
   ProcessorModel model;
   model.setUpWork = 1000 / place.setUpsASecond;
-  model.followWork = 0.35 * model.setUpWork;
-  model.turnAwayWork = 0.2 * model.setUpWork;
+  model.followUpWork = 0.35 * model.setUpWork;
+  model.rejectWork = 0.2 * model.setUpWork;
   model.coldCapacityShare = fleet.data.coldCapacityShare;
   model.warmUpTime = fleet.data.warmUpTime;
   model.overloadFactor = fleet.data.overloadFactor;
@@ -64,8 +64,9 @@
   SimulatedExchange station(model, 1, host.clock().now(), !cold);
   run(host, station, seconds);
   const auto& counters = station.counters();
-  std::cout << "set-ups " << counters.setUps << ", stood " << counters.stood << ", turned away " << counters.turnedAway
-            << ", dropped " << counters.dropped << (station.fallen() ? ", pushed over" : "") << '\n';
+  std::cout << "set-ups " << counters.setUps << ", stood " << counters.established << ", turned away "
+            << counters.rejected << ", dropped " << counters.abandoned
+            << (station.hasCollapsed() ? ", pushed over" : "") << '\n';
   return 0;
 }
 
@@ -100,7 +101,7 @@
     for (const auto& [place, state] : read) {
       if (states[place] != Readiness::ready && state == Readiness::ready) ++marks[place];
       states[place] = state;
-      station.learns(host.clock().now(), static_cast<int>(place), state, marks[place], Span::none());
+      station.setState(host.clock().now(), static_cast<int>(place), state, marks[place], Span::none());
     }
   };
   load();
@@ -130,7 +131,7 @@
   plan.rate = rate;
   plan.length = Span::ms(seconds * 1000);
   plan.swing = 0;
-  plan.shares.assign(plan.fleet.offeredServices.size(), 1);
+  plan.serviceWeights.assign(plan.fleet.offeredServices.size(), 1);
   if (hold > 0) {
     for (Service& service : plan.fleet.data.services) service.meanHold = Span::ms(hold);
   }
@@ -138,7 +139,7 @@
   CallerBehaviour behaviour;
   behaviour.redials = 0;
   SimulatedCallers callers(plan.fleet, behaviour, seed, host.clock().now());
-  std::vector<PlannedCall> dials = day::traffic(plan);
+  std::vector<PlannedCall> dials = day::drawTraffic(plan);
   const Instant begin = host.clock().now() + Span::ms(100);
   callers.begin(begin);
   for (PlannedCall& dial : dials) {
@@ -160,20 +161,20 @@
     poll.expires_after(std::chrono::milliseconds(50));
     poll.async_wait([&](const boost::system::error_code& error) {
       if (error) return;
-      if (callers.active() == 0 || host.clock().now() > latest) return host.stop();
+      if (callers.activeSessions() == 0 || host.clock().now() > latest) return host.stop();
       untilOver();
     });
   };
   untilOver();
   run(host, callers, 0);
   std::uint64_t offered = 0, stood = 0, late = 0, refused = 0, failed = 0, cut = 0;
-  for (const auto& one : callers.served()) {
+  for (const auto& one : callers.serviceCounts()) {
     offered += one.offered;
-    stood += one.stood;
+    stood += one.established;
     late += one.late;
     refused += one.refused;
     failed += one.failed;
-    cut += one.cut;
+    cut += one.aborted;
   }
   std::vector<float> delays = callers.delays();
   std::sort(delays.begin(), delays.end());
@@ -191,7 +192,7 @@
               << ", failed " << failed << ", cut " << cut << "\npost-dial delay p50 " << at(0.5) << " ms, p99 "
               << at(0.99) << " ms, p99.9 " << at(0.999) << " ms\n";
   }
-  return failed == 0 && callers.active() == 0 ? 0 : 1;
+  return failed == 0 && callers.activeSessions() == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -49,7 +49,7 @@
   }
 
  private:
-  void leave(const std::string& what) { out_.left.push_back(what); }
+  void leave(const std::string& what) { out_.unsupported.push_back(what); }
 
   void services(const json::object& fam) {
     DayPlan& plan = out_.plan;
@@ -66,7 +66,7 @@
       service.meanHold = microseconds(fam.at("hold").at(i));
       service.repeatable = one.at("effect").as_string() == "safe";
       plan.fleet.data.services.push_back(service);
-      plan.shares.push_back(one.at("share").to_number<double>());
+      plan.serviceWeights.push_back(one.at("share").to_number<double>());
     }
   }
 
@@ -94,8 +94,8 @@
     model.warmUpTime = microseconds(kind.at("cold"));
     model.overloadFactor = data.overloadFactor;
     model.overloadWindow = data.overloadWindow;
-    model.followWork = fam.at("follow").to_number<double>();
-    model.turnAwayWork = fam.at("reject").to_number<double>();
+    model.followUpWork = fam.at("follow").to_number<double>();
+    model.rejectWork = fam.at("reject").to_number<double>();
     model.longestWait = microseconds(fam.at("queue"));
     out_.plan.lines = fam.at("hot_lines").to_number<int>();
   }
@@ -138,9 +138,10 @@
     }
     // Circuit-seconds that the mean session takes.
     double sum = 0, each = 0;
-    for (std::size_t i = 0; i < plan.shares.size(); ++i) {
-      sum += plan.shares[i];
-      each += plan.shares[i] * plan.fleet.offeredServices[i].width * plan.fleet.data.services[i].meanHold.ms() / 1000;
+    for (std::size_t i = 0; i < plan.serviceWeights.size(); ++i) {
+      sum += plan.serviceWeights[i];
+      each += plan.serviceWeights[i] * plan.fleet.offeredServices[i].width * plan.fleet.data.services[i].meanHold.ms() /
+              1000;
     }
     const double load = day_.at("traffic").at("load").to_number<double>();
     plan.rate = scale_ * load * erlangs / (each / sum);
--- a/src/day/bench_day.hpp
+++ b/src/day/bench_day.hpp
@@ -11,7 +11,7 @@
 
 struct BenchDay {
   DayPlan plan;
-  std::vector<std::string> left;  // what has no counterpart here, a line each
+  std::vector<std::string> unsupported;  // what has no counterpart here, a line each
 };
 
 /// `scale`, above 0 and up to 1: share of its traffic, circuits and processors' speed that is played; its times stay.
--- a/src/day/loopback_testbed.cpp
+++ b/src/day/loopback_testbed.cpp
@@ -106,8 +106,8 @@
       fleet_.places[i].office = face(officeIdentity(place)).port->address();
       fleet_.places[i].processor = face(processorIdentity(place)).port->address();
     }
-    fleet_.directory = face(kDirectory).port->address();
-    face(kCallers);
+    fleet_.directory = face(kDirectoryIdentity).port->address();
+    face(kCallersIdentity);
     fleetPath_ = folder_ + "/fleet.sexp";
     write(fleetPath_, settings::writeFleet(fleet_));
     asker_ = net::bindPort(context_.get_executor(), kAnyPort);
@@ -128,7 +128,7 @@
   void setTap(net::MemoryNetwork::Tap tap) override { tap_ = std::move(tap); }
   const Fleet& fleet() const override { return fleet_; }
 
-  void place(iax2::Address identity, DatagramHandler& handler) override {
+  void attach(iax2::Address identity, DatagramHandler& handler) override {
     auto host = std::make_unique<Host>();
     host->port = net::bindPort(context_.get_executor(), kAnyPort);
     host->runner = std::make_unique<net::DatagramRunner>(
@@ -137,7 +137,7 @@
     known(identity, host->port->address());
     hosts_[identity] = std::move(host);
   }
-  void remove(iax2::Address identity) override {
+  void detach(iax2::Address identity) override {
     const auto it = hosts_.find(identity);
     if (it == hosts_.end()) return;
     close(*it->second);
@@ -182,7 +182,7 @@
     write(fleetPath_, settings::writeFleet(fleet_));
     for (const auto& [place, process] : processes_) process->signal(SIGHUP);
   }
-  std::optional<std::string> ask(int place, std::string_view question) override {
+  std::optional<std::string> query(int place, std::string_view question) override {
     if (!processes_.contains(place)) return std::nullopt;
     asker_->send(listened_[place], {reinterpret_cast<const std::uint8_t*>(question.data()), question.size()});
     std::optional<std::string> account;
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -36,7 +36,7 @@
         testbed_(testbed),
         capture_(capturePath),
         chance_(plan.seed * 104729 + 3),
-        fleet_(identified(plan.fleet)),
+        fleet_(withIdentityAddresses(plan.fleet)),
         callers_(testbed.fleet(), plan.behaviour, plan.seed + 11, Instant()) {
     for (std::size_t i = 0; i < fleet_.places.size(); ++i) {
       const int place = static_cast<int>(i);
@@ -58,7 +58,7 @@
     for (const Place& place : testbed_.fleet().places) offices.push_back(place.office);
     directory_ = std::make_unique<SimulatedDirectory>(
         plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, count, testbed_.now());
-    testbed_.place(kDirectory, *directory_);
+    testbed_.attach(kDirectoryIdentity, *directory_);
     processors_.resize(count);
     for (std::size_t i = 0; i < count; ++i) startProcessor(static_cast<int>(i), true);
     for (std::size_t i = 0; i < count; ++i) testbed_.startOffice(static_cast<int>(i), plan_.seed + i);
@@ -67,29 +67,29 @@
     begin_ = testbed_.now();
     note("begin");
     callers_.begin(begin_);
-    std::vector<PlannedCall> dials = traffic(plan_);
+    std::vector<PlannedCall> dials = drawTraffic(plan_);
     for (PlannedCall& dial : dials) dial.at = begin_ + (dial.at - Instant());
     callers_.plan(std::move(dials));
-    testbed_.place(kCallers, callers_);
+    testbed_.attach(kCallersIdentity, callers_);
     for (const Fault& fault : plan_.faults) {
       testbed_.at(begin_ + fault.at, [this, &fault] { strike(fault); });
     }
     testbed_.runUntil(begin_ + plan_.length);
     const Instant cutOff = testbed_.now() + kLongestEnd;
-    while (callers_.active() > 0 && testbed_.now() < cutOff) testbed_.runUntil(testbed_.now() + Span::ms(250));
+    while (callers_.activeSessions() > 0 && testbed_.now() < cutOff) testbed_.runUntil(testbed_.now() + Span::ms(250));
     testbed_.runUntil(testbed_.now() + kSettle);
 
     Report report;
-    report.unfinished = callers_.active();
+    report.unfinished = callers_.activeSessions();
     for (std::size_t i = 0; i < count; ++i) {
-      report.offices.push_back(testbed_.ask(static_cast<int>(i), "thistlefold status 1\n").value_or(""));
-      report.zones.push_back(testbed_.ask(static_cast<int>(i), "thistlefold zones 1\n").value_or(""));
+      report.offices.push_back(testbed_.query(static_cast<int>(i), "thistlefold status 1\n").value_or(""));
+      report.zones.push_back(testbed_.query(static_cast<int>(i), "thistlefold zones 1\n").value_or(""));
     }
     // The last five minutes to each zone, for reports of the run.
     for (std::size_t i = 0; i < count; ++i) {
       for (const std::string& zone : fleet_.zones()) {
         if (zone == fleet_.places[i].zone) continue;
-        const auto series = testbed_.ask(static_cast<int>(i), "thistlefold series 1 second " + zone + "\n");
+        const auto series = testbed_.query(static_cast<int>(i), "thistlefold series 1 second " + zone + "\n");
         if (series) report.series.push_back(*series);
       }
     }
@@ -110,7 +110,7 @@
   void gather(Report& report) {
     report.day = plan_.name;
     for (const OfferedService& offer : fleet_.offeredServices) report.services.push_back(offer.name);
-    report.served = callers_.served();
+    report.served = callers_.serviceCounts();
     report.seconds = callers_.seconds();
     report.refusals = callers_.refusals();
     report.faults = told_;
@@ -120,7 +120,7 @@
       report.p50 = delays[delays.size() / 2];
       report.p99 = delays[delays.size() * 99 / 100];
     }
-    for (const auto& one : processors_) report.fallen += one != nullptr && one->fallen();
+    for (const auto& one : processors_) report.fallen += one != nullptr && one->hasCollapsed();
     report.fallen += fallenBefore_;
     // Both ends of each group, by their own accounts.
     std::map<std::pair<std::string, std::string>, std::int64_t> free;
@@ -160,7 +160,7 @@
           const auto word = [&](const char* field) { return std::string(cell.at(field).as_string()); };
           audit::ZoneLegCounts& sums = told[{word("from"), word("to"), word("service"), word("part")}];
           sums.invites += cell.at("invites").to_number<std::uint64_t>();
-          sums.stood += cell.at("stood").to_number<std::uint64_t>();
+          sums.established += cell.at("stood").to_number<std::uint64_t>();
         }
     }
     if (!report.crossingsChecked) return;
@@ -171,8 +171,8 @@
       if (counted == sums) continue;
       report.crossings.push_back(crossing.from + " to " + crossing.to + ", " + crossing.service + ", " + crossing.part +
                                  ": offices counted " + std::to_string(counted.invites) + " INVITEs and " +
-                                 std::to_string(counted.stood) + " stood, the capture has " +
-                                 std::to_string(sums.invites) + " and " + std::to_string(sums.stood));
+                                 std::to_string(counted.established) + " stood, the capture has " +
+                                 std::to_string(sums.invites) + " and " + std::to_string(sums.established));
     }
   }
 
@@ -231,28 +231,28 @@
   void startProcessor(int place, bool warm) {
     ProcessorModel model = plan_.processor;
     model.setUpWork = 1000 / fleet_.places[static_cast<std::size_t>(place)].setUpsASecond;
-    model.followWork *= model.setUpWork;
-    model.turnAwayWork *= model.setUpWork;
+    model.followUpWork *= model.setUpWork;
+    model.rejectWork *= model.setUpWork;
     model.lines[massCalled(fleet_, place)] = plan_.lines;
     auto& at = processors_[static_cast<std::size_t>(place)];
     at = std::make_unique<SimulatedExchange>(model, plan_.seed + static_cast<std::uint64_t>(place), testbed_.now(),
                                              warm);
-    testbed_.place(processorIdentity(place), *at);
+    testbed_.attach(processorIdentity(place), *at);
     if (!warm) note("processor-started " + name(place));
   }
   void stopProcessor(int place) {
     auto& at = processors_[static_cast<std::size_t>(place)];
     if (at == nullptr) return;
-    testbed_.remove(processorIdentity(place));
-    fallenBefore_ += at->fallen();
+    testbed_.detach(processorIdentity(place));
+    fallenBefore_ += at->hasCollapsed();
     // Its coroutines may still be about to end.
     testbed_.at(testbed_.now() + Span::ms(5), [gone = std::shared_ptr<SimulatedExchange>(std::move(at))] {});
   }
   void learns(int place, Readiness readiness, Span notice) {
     const auto& at = processors_[static_cast<std::size_t>(place)];
-    if (at != nullptr) marks_[place] = at->mark();
-    directory_->learns(testbed_.now(), place, readiness, marks_[place], notice);
-    testbed_.wakeUp(kDirectory);
+    if (at != nullptr) marks_[place] = at->incarnation();
+    directory_->setState(testbed_.now(), place, readiness, marks_[place], notice);
+    testbed_.wakeUp(kDirectoryIdentity);
   }
   /// Dies now, is back cold after `down`.
   void crash(int place, Span down) {
@@ -278,8 +278,8 @@
     switch (one.kind) {
       case Fault::Kind::hang:
         each(one, [&](int place) {
-          processor(place).hang(testbed_.now(), true);
-          later([this, place] { whileUp(place, [&] { processor(place).hang(testbed_.now(), false); }); });
+          processor(place).setHung(testbed_.now(), true);
+          later([this, place] { whileUp(place, [&] { processor(place).setHung(testbed_.now(), false); }); });
         });
         break;
       case Fault::Kind::slow:
@@ -289,7 +289,7 @@
         });
         break;
       case Fault::Kind::age:
-        each(one, [&](int place) { age(place, Span::ms(one.size), end, 1, processor(place).mark()); });
+        each(one, [&](int place) { age(place, Span::ms(one.size), end, 1, processor(place).incarnation()); });
         break;
       case Fault::Kind::crash:
         each(one, [&](int place) { crash(place, one.lasts); });
@@ -395,7 +395,7 @@
 
   void age(int place, Span doubling, Instant end, double times, std::uint64_t mark) {
     const auto& at = processors_[static_cast<std::size_t>(place)];
-    if (at == nullptr || at->mark() != mark) return;
+    if (at == nullptr || at->incarnation() != mark) return;
     if (testbed_.now() >= end) return crash(place, Span::ms(1000));
     at->slow(times);
     testbed_.at(std::min(end, testbed_.now() + doubling),
@@ -409,9 +409,9 @@
       };
       if (inside(group.a) == inside(group.b) && one.places.size() > 1) continue;
       if (!inside(group.a) && !inside(group.b)) continue;
-      directory_->resized(testbed_.now(), {group.a, group.b, static_cast<int>(std::ceil(keep * group.circuits))});
+      directory_->setGroupSize(testbed_.now(), {group.a, group.b, static_cast<int>(std::ceil(keep * group.circuits))});
     }
-    testbed_.wakeUp(kDirectory);
+    testbed_.wakeUp(kDirectoryIdentity);
   }
 
   // ---- The network
@@ -427,7 +427,7 @@
                  ? plan_.network.sameZone
                  : plan_.network.crossZone;
     }
-    if (from == kDirectory || to == kDirectory) base = kDirectoryPath;
+    if (from == kDirectoryIdentity || to == kDirectoryIdentity) base = kDirectoryPath;
     double loss = plan_.network.loss, twice = 0, late = 0, cutShort = 0;
     Span lateBy;
     for (const Fault* fault : faults_) {
@@ -496,9 +496,9 @@
   auto player = std::make_unique<Player>(plan, testbed, capturePath);
   Report report = player->play(capturePath);
   // Stations leave before they are destroyed.
-  testbed.remove(kCallers);
-  testbed.remove(kDirectory);
-  for (std::size_t i = 0; i < plan.fleet.places.size(); ++i) testbed.remove(processorIdentity(static_cast<int>(i)));
+  testbed.detach(kCallersIdentity);
+  testbed.detach(kDirectoryIdentity);
+  for (std::size_t i = 0; i < plan.fleet.places.size(); ++i) testbed.detach(processorIdentity(static_cast<int>(i)));
   testbed.runUntil(testbed.now() + Span::ms(20));
   return report;
 }
@@ -515,7 +515,7 @@
   for (std::size_t i = 0; i < r.served.size(); ++i) {
     const auto& s = r.served[i];
     out << std::left << std::setw(18) << r.services[i] << std::right;
-    for (const auto count : {s.offered, s.stood, s.late, s.refused, s.failed, s.cut, s.tries}) {
+    for (const auto count : {s.offered, s.established, s.late, s.refused, s.failed, s.aborted, s.tries}) {
       out << std::setw(9) << count;
     }
     out << std::setw(8) << std::setprecision(1) << (s.value > 0 ? 100 * s.earned / s.value : 0) << "%\n";
@@ -576,11 +576,11 @@
     const auto& s = r.served[i];
     services.push_back(json::object{{"service", r.services[i]},
                                     {"offered", s.offered},
-                                    {"stood", s.stood},
+                                    {"stood", s.established},
                                     {"late", s.late},
                                     {"refused", s.refused},
                                     {"failed", s.failed},
-                                    {"cut", s.cut},
+                                    {"cut", s.aborted},
                                     {"tries", s.tries},
                                     {"value", s.value},
                                     {"earned", s.earned}});
--- a/src/day/play.hpp
+++ b/src/day/play.hpp
@@ -14,7 +14,7 @@
 struct Report {
   std::string day;
   std::vector<std::string> services;
-  std::vector<SimulatedCallers::Served> served;
+  std::vector<SimulatedCallers::ServiceCounts> served;
   std::vector<SimulatedCallers::Second> seconds;
   std::map<int, std::uint64_t> refusals;  // by cause code
   double p50 = 0, p99 = 0;                // post-dial delay in ms of sessions that stood
@@ -34,7 +34,7 @@
 
   double service() const;  // value earned over value offered
   bool good() const {
-    return findings.kept() && disagree.empty() && crossings.empty() && unfinished == 0 && fallen == 0;
+    return findings.passed() && disagree.empty() && crossings.empty() && unfinished == 0 && fallen == 0;
   }
 };
 
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -273,7 +273,7 @@
       for (const OfferedService& offer : plan.fleet.offeredServices) known.push_back(offer.name);
       settings::unknownWord(share->items[1], share->items[1].value, known);
     }
-    plan.shares[static_cast<std::size_t>(service)] = settings::asNumber(share->items[2], 0, 1e6);
+    plan.serviceWeights[static_cast<std::size_t>(service)] = settings::asNumber(share->items[2], 0, 1e6);
   }
 }
 
@@ -295,14 +295,14 @@
   plan.seed = static_cast<std::uint64_t>(f.number("seed", 0, 9e15));
   plan.length = Span::ms(f.number("length", 100, 1e8));
   plan.notice = Span::ms(f.number("notice", 0, 1e6));
-  plan.shares.assign(plan.fleet.offeredServices.size(), 1.0);
+  plan.serviceWeights.assign(plan.fleet.offeredServices.size(), 1.0);
   if (const Form* callers = f.find("callers")) readCallers(*callers, plan);
   Form none;
   const Form* processor = f.find("processor");
   const Fields p(processor == nullptr ? none : *processor, 1, kProcessor);
   // Against a set-up of one; whoever places the exchange multiplies by its set-up's work.
-  plan.processor.followWork = p.number("follow-work", 0, 100);
-  plan.processor.turnAwayWork = p.number("turn-away-work", 0, 100);
+  plan.processor.followUpWork = p.number("follow-work", 0, 100);
+  plan.processor.rejectWork = p.number("turn-away-work", 0, 100);
   plan.processor.longestWait = Span::ms(p.number("longest-wait", 0, 1e6));
   plan.lines = p.whole("lines", 1, 100000);
   plan.processor.coldCapacityShare = plan.fleet.data.coldCapacityShare;
@@ -329,7 +329,7 @@
   return fleet.places[static_cast<std::size_t>(place)].numbers + "0000";
 }
 
-std::vector<PlannedCall> traffic(const DayPlan& plan) {
+std::vector<PlannedCall> drawTraffic(const DayPlan& plan) {
   std::mt19937_64 chance(plan.seed);
   const auto lot = [&] { return std::generate_canonical<double, 53>(chance); };
   const std::size_t count = plan.fleet.places.size();
@@ -396,7 +396,7 @@
     PlannedCall dial;
     dial.at = Instant() + at;
     dial.office = static_cast<int>(draw(offices.data(), count));
-    dial.service = static_cast<int>(draw(plan.shares.data(), plan.shares.size()));
+    dial.service = static_cast<int>(draw(plan.serviceWeights.data(), plan.serviceWeights.size()));
     const auto to = draw(&pairs[static_cast<std::size_t>(dial.office) * count], count);
     dial.number = plan.fleet.places[to].numbers + std::to_string(10001 + static_cast<int>(lot() * 9999)).substr(1);
     const Service& service = plan.fleet.data.services[static_cast<std::size_t>(dial.service)];
--- a/src/day/script.hpp
+++ b/src/day/script.hpp
@@ -63,10 +63,10 @@
   std::vector<std::pair<Span, double>> knots;  // shape "given": the rate goes straight between these, by time
   double swing = 0.2;                          // wave and ramp go this share above and below
   double pairSpread = 0.5;                     // how unequal destinations are (standard deviation of the logarithm)
-  std::vector<double> pairs;     // weight by office and destination, row by row; empty: drawn from pairSpread
-  std::vector<double> shares;    // of the services
-  Span notice = Span::ms(2000);  // how late the directory is
-  int lines = 4;                 // of a mass-called number
+  std::vector<double> pairs;           // weight by office and destination, row by row; empty: drawn from pairSpread
+  std::vector<double> serviceWeights;  // of the services
+  Span notice = Span::ms(2000);        // how late the directory is
+  int lines = 4;                       // of a mass-called number
   std::vector<Fault> faults;
 };
 
@@ -75,7 +75,7 @@
 DayPlan openDay(const std::string& path);
 
 /// All that is dialled on that day, drawn from its seed: the same for the same plan.
-std::vector<PlannedCall> traffic(const DayPlan& plan);
+std::vector<PlannedCall> drawTraffic(const DayPlan& plan);
 
 void explainDay(std::ostream& out);
 
--- a/src/day/testbed.hpp
+++ b/src/day/testbed.hpp
@@ -21,9 +21,9 @@
 iax2::Address officeIdentity(int place);
 iax2::Address processorIdentity(int place);
 /// The fleet with identities for addresses, as the audit wants it.
-Fleet identified(Fleet fleet);
-inline constexpr iax2::Address kDirectory{0x7f030001, 4570};
-inline constexpr iax2::Address kCallers{0x7f040001, 4569};
+Fleet withIdentityAddresses(Fleet fleet);
+inline constexpr iax2::Address kDirectoryIdentity{0x7f030001, 4570};
+inline constexpr iax2::Address kCallersIdentity{0x7f040001, 4569};
 
 struct TestbedError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -41,9 +41,9 @@
   /// The fleet as stations on this stage must see it: with addresses that reach the others.
   virtual const Fleet& fleet() const = 0;
   /// Puts a stand-in at an identity; the station must live until removed. Throws TestbedError.
-  virtual void place(iax2::Address identity, DatagramHandler& handler) = 0;
+  virtual void attach(iax2::Address identity, DatagramHandler& handler) = 0;
   /// Nothing reaches it any more, nothing comes from it.
-  virtual void remove(iax2::Address identity) = 0;
+  virtual void detach(iax2::Address identity) = 0;
   /// After a station was changed from outside its turn.
   virtual void wakeUp(iax2::Address identity) = 0;
 
@@ -55,7 +55,7 @@
   /// Budgets between zones from now on, for the offices that run and those that are started later.
   virtual void budgets(const std::vector<zones::Budget>& budgets) = 0;
   /// What it answers to a question (docs/wire.md), or nothing if it does not run or answer.
-  virtual std::optional<std::string> ask(int place, std::string_view question) = 0;
+  virtual std::optional<std::string> query(int place, std::string_view question) = 0;
 
   virtual void at(Instant when, std::function<void()> what) = 0;
   virtual void runUntil(Instant end) = 0;
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -8,12 +8,12 @@
 iax2::Address officeIdentity(int place) { return {0x7f010001u + static_cast<std::uint32_t>(place), 4569}; }
 iax2::Address processorIdentity(int place) { return {0x7f020001u + static_cast<std::uint32_t>(place), 4569}; }
 
-Fleet identified(Fleet fleet) {
+Fleet withIdentityAddresses(Fleet fleet) {
   for (std::size_t i = 0; i < fleet.places.size(); ++i) {
     fleet.places[i].office = officeIdentity(static_cast<int>(i));
     fleet.places[i].processor = processorIdentity(static_cast<int>(i));
   }
-  fleet.directory = kDirectory;
+  fleet.directory = kDirectoryIdentity;
   return fleet;
 }
 
@@ -22,7 +22,7 @@
 class VirtualTestbed final : public Testbed {
  public:
   VirtualTestbed(Fleet fleet, ControllerFactory make)
-      : fleet_(identified(std::move(fleet))), make_(std::move(make)), clock_(context_), network_(clock_) {}
+      : fleet_(withIdentityAddresses(std::move(fleet))), make_(std::move(make)), clock_(context_), network_(clock_) {}
   ~VirtualTestbed() override {
     // The coroutines end before what they refer to.
     for (auto& [identity, host] : hosts_) {
@@ -40,7 +40,7 @@
   void setTap(net::MemoryNetwork::Tap tap) override { network_.setTap(std::move(tap)); }
   const Fleet& fleet() const override { return fleet_; }
 
-  void place(iax2::Address identity, DatagramHandler& handler) override {
+  void attach(iax2::Address identity, DatagramHandler& handler) override {
     if (hosts_.contains(identity)) throw TestbedError("two stations at " + iax2::text(identity));
     auto host = std::make_unique<Host>(clock_);
     host->port = network_.port(identity);
@@ -49,7 +49,7 @@
         [identity](const char* what) { throw TestbedError("station " + iax2::text(identity) + ": " + what); });
     hosts_[identity] = std::move(host);
   }
-  void remove(iax2::Address identity) override {
+  void detach(iax2::Address identity) override {
     const auto it = hosts_.find(identity);
     if (it == hosts_.end()) return;
     it->second->port->close();
@@ -68,11 +68,11 @@
     setting.place = place;
     setting.seed = seed;
     auto office = std::make_unique<Office>(fleet_, setting, clock_.now(), make_);
-    this->place(officeIdentity(place), *office);
+    this->attach(officeIdentity(place), *office);
     offices_[place] = std::move(office);
   }
   void killOffice(int place) override {
-    remove(officeIdentity(place));
+    detach(officeIdentity(place));
     clock_.at(clock_.now() + Span::ms(2), [gone = std::shared_ptr<Office>(std::move(offices_[place]))] {});
     offices_.erase(place);
   }
@@ -94,7 +94,7 @@
       wakeUp(officeIdentity(place));
     }
   }
-  std::optional<std::string> ask(int place, std::string_view question) override {
+  std::optional<std::string> query(int place, std::string_view question) override {
     const auto office = offices_.find(place);
     if (office == offices_.end()) return std::nullopt;
     return office->second->answer(clock_.now(), question);
--- a/src/simulators/callers.cpp
+++ b/src/simulators/callers.cpp
@@ -28,8 +28,8 @@
     if (done) return callers.finish(*this);
     if (standing) {
       // Cut: it earned nothing, and the caller comes back with a new try that counts by itself.
-      Served& served = callers.served_[service()];
-      ++served.cut;
+      ServiceCounts& served = callers.served_[service()];
+      ++served.aborted;
       wasCut = true;
       standing = false;
       inTime = false;
@@ -122,7 +122,7 @@
   Want& want = *self;
   want.self = self;
   want.firstDialled = now_;
-  Served& served = served_[want.service()];
+  ServiceCounts& served = served_[want.service()];
   ++served.offered;
   const double value = fleet_.data.services[want.service()].value;
   served.value += value;
@@ -169,15 +169,15 @@
 }
 
 void SimulatedCallers::finish(Want& want) {
-  Served& served = served_[want.service()];
+  ServiceCounts& served = served_[want.service()];
   const Service& service = fleet_.data.services[want.service()];
   Second& second = seconds_[want.second];
   if (want.standing) {
     const double earned = want.inTime ? service.value : service.value * service.lateValue;
-    ++(want.inTime ? served.stood : served.late);
+    ++(want.inTime ? served.established : served.late);
     served.earned += earned;
     second.earned += earned;
-    ++second.stood;
+    ++second.established;
   } else {
     ++(want.refused ? served.refused : served.failed);
   }
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -48,22 +48,22 @@
 
   /// Sessions of one service, by how they went; each is in exactly one of stood, late, refused, failed once it is
   /// over. Of those that stood, cut ones are counted again in `cut`.
-  struct Served {
-    std::uint64_t offered = 0, stood = 0, late = 0, refused = 0, failed = 0, cut = 0, tries = 0, answers = 0;
+  struct ServiceCounts {
+    std::uint64_t offered = 0, established = 0, late = 0, refused = 0, failed = 0, aborted = 0, tries = 0, answers = 0;
     double value = 0, earned = 0;
   };
-  const std::vector<Served>& served() const { return served_; }
+  const std::vector<ServiceCounts>& serviceCounts() const { return served_; }
   /// By second of the day since `begin`, all services.
   struct Second {
     double value = 0, earned = 0;
-    std::uint64_t offered = 0, stood = 0;
+    std::uint64_t offered = 0, established = 0;
   };
   const std::vector<Second>& seconds() const { return seconds_; }
   /// Refusals by cause code.
   const std::map<int, std::uint64_t>& refusals() const { return refusals_; }
   /// Post-dial delays of sessions that stood, in ms.
   const std::vector<float>& delays() const { return delays_; }
-  std::size_t active() const { return wants_.size() + planned_.size(); }
+  std::size_t activeSessions() const { return wants_.size() + planned_.size(); }
   const iax2::Counts& wire() const { return endpoint_.counts(); }
 
  private:
@@ -91,7 +91,7 @@
   std::deque<PlannedCall> planned_;
   std::list<Want> wants_;
   std::multimap<Instant, std::pair<Want*, Act>> acts_;
-  std::vector<Served> served_;
+  std::vector<ServiceCounts> served_;
   std::vector<Second> seconds_;
   std::map<int, std::uint64_t> refusals_;
   std::vector<float> delays_;
--- a/src/simulators/directory.cpp
+++ b/src/simulators/directory.cpp
@@ -24,14 +24,14 @@
   if (std::equal(datagram.begin(), datagram.end(), kAsk.begin(), kAsk.end())) asked_.push_back(from);
 }
 
-void SimulatedDirectory::learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice) {
+void SimulatedDirectory::setState(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice) {
   Later later{place, {readiness, start, now}};
   const Known& known = told_[static_cast<std::size_t>(place)];
   if (known.start == start) later.known.started = known.started;
   later_.emplace(now + notice, later);
 }
 
-void SimulatedDirectory::resized(Instant now, GroupSize group) {
+void SimulatedDirectory::setGroupSize(Instant now, GroupSize group) {
   std::erase_if(groups_, [&](const GroupSize& one) { return one.a == group.a && one.b == group.b; });
   groups_.push_back(group);
   fullAt_ = now;
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -21,9 +21,9 @@
   Instant nextDeadline() const override;
 
   /// What is true from now on; told after `notice`. `start` is the mark of the processor that runs there.
-  void learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice);
+  void setState(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice);
   /// A group has so many circuits from now on; told at once.
-  void resized(Instant now, GroupSize group);
+  void setGroupSize(Instant now, GroupSize group);
   /// Says nothing until then.
   void failUntil(Instant until) { failedUntil_ = until; }
 
--- a/src/simulators/exchange.cpp
+++ b/src/simulators/exchange.cpp
@@ -69,7 +69,7 @@
 
 Instant SimulatedExchange::nextDeadline() const { return std::min(doneAt_, endpoint_.nextDue()); }
 
-void SimulatedExchange::hang(Instant now, bool hung) {
+void SimulatedExchange::setHung(Instant now, bool hung) {
   now_ = now;
   hung_ = hung;
   if (hung) {
@@ -92,7 +92,7 @@
     if (owed < 1) continue;
     owed -= 1;
     Taken& taken = *taken_[key];
-    ++counters_.cut;
+    ++counters_.aborted;
     iax2::Elements e;
     e.causeCode = std::uint8_t{38};
     e.why = iax2::ReleaseReason::reset;
@@ -130,8 +130,8 @@
 
 double SimulatedExchange::cost(Work work) const {
   const double warm = work == Work::setUp      ? model_.setUpWork
-                      : work == Work::turnAway ? model_.turnAwayWork
-                                               : model_.followWork;
+                      : work == Work::turnAway ? model_.rejectWork
+                                               : model_.followUpWork;
   return warm / speed();
 }
 
@@ -146,7 +146,7 @@
     current_ = line.front();
     line.pop_front();
     if (current_.work == Work::setUp && !taken_.contains(current_.session)) {
-      ++counters_.dropped;
+      ++counters_.abandoned;
       continue;
     }
     busy_ = true;
@@ -178,13 +178,13 @@
       return;
     }
     case Work::turnAway:
-      ++counters_.turnedAway;
+      ++counters_.rejected;
       return refuse(taken, iax2::ReleaseReason::processorFull, 42, wait());
     case Work::answer:
       if (taken.call == nullptr) return;
       taken.stands = true;
       ++standing_;
-      ++counters_.stood;
+      ++counters_.established;
       endpoint_.send(now_, *taken.call, iax2::Control::answer);
       return;
     case Work::release:
@@ -212,7 +212,7 @@
 iax2::Elements SimulatedExchange::told() const {
   double used = 0;
   for (const auto& [at, ms] : worked_) used += now_ - at <= Span::ms(1000) ? ms : 0;
-  const double whole = speed() * 1000 / (model_.setUpWork + 2 * model_.followWork);
+  const double whole = speed() * 1000 / (model_.setUpWork + 2 * model_.followUpWork);
   iax2::Elements e;
   e.canTake = static_cast<std::uint32_t>(1000 * whole * std::clamp(1 - used / 1000, 0.0, 1.0));
   return e;
--- a/src/simulators/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -17,8 +17,8 @@
 /// Work is in milliseconds of the warm processor.
 struct ProcessorModel {
   double setUpWork = 2;       // looking at a session and setting it up
-  double followWork = 0.7;    // the answer, and the release: each
-  double turnAwayWork = 0.4;  // turning a set-up away
+  double followUpWork = 0.7;  // the answer, and the release: each
+  double rejectWork = 0.4;    // turning a set-up away
   Span longestWait = Span::ms(1500);
   double coldCapacityShare = 0.3;  // share of its speed when just started
   Span warmUpTime = Span::ms(12000);
@@ -39,18 +39,18 @@
   Instant nextDeadline() const override;
 
   // Faults. All last until changed again.
-  void hang(Instant now, bool hung);              // takes set-ups and answers none
+  void setHung(Instant now, bool hung);           // takes set-ups and answers none
   void silent(bool silent) { silent_ = silent; }  // answers nothing at all
   void slow(double times) { slow_ = times; }
   void lose(Instant now, double share);  // cuts that share of its standing sessions
 
   struct Counters {
-    std::uint64_t setUps = 0, stood = 0, ended = 0, turnedAway = 0, linesBusy = 0, dropped = 0, cut = 0;
+    std::uint64_t setUps = 0, established = 0, ended = 0, rejected = 0, linesBusy = 0, abandoned = 0, aborted = 0;
   };
   const Counters& counters() const { return counters_; }
-  bool fallen() const { return fallen_; }
-  std::size_t standing() const { return standing_; }
-  std::uint64_t mark() const { return mark_; }
+  bool hasCollapsed() const { return fallen_; }
+  std::size_t establishedSessions() const { return standing_; }
+  std::uint64_t incarnation() const { return mark_; }
 
  private:
   enum class Work { setUp, turnAway, answer, release };
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -13,19 +13,19 @@
 audit::Findings play(FleetFixture& fixture, const std::function<void(TestPhone&)>& what) {
   fixture.open();
   TestPhone phone(99);
-  fixture.testbed().place(day::kCallers, phone);
+  fixture.testbed().attach(day::kCallersIdentity, phone);
   fixture.note("begin");
   what(phone);
   fixture.run(12000);
   const audit::Findings findings = fixture.findings();
-  fixture.testbed().remove(day::kCallers);
+  fixture.testbed().detach(day::kCallersIdentity);
   fixture.run(10);
   return findings;
 }
 
 void dial(FleetFixture& fixture, TestPhone& phone, int office, const std::string& number) {
   phone.dial(fixture.now(), fixture.office(office), number);
-  fixture.testbed().wakeUp(day::kCallers);
+  fixture.testbed().wakeUp(day::kCallersIdentity);
 }
 
 }  // namespace
@@ -34,14 +34,14 @@
   FleetFixture fixture(smallFleet(2, 10), rogueController({false, true}), "rule1");
   const auto findings = play(fixture, [&](TestPhone& phone) {
     iax2::Call* call = phone.dial(fixture.now(), fixture.office(0), "210001");
-    fixture.testbed().wakeUp(day::kCallers);
+    fixture.testbed().wakeUp(day::kCallersIdentity);
     fixture.run(3000);  // the caller's limit
     phone.endpoint().hangUp(fixture.now(), *call, iax2::Iax::HANGUP, {});
-    fixture.testbed().wakeUp(day::kCallers);
+    fixture.testbed().wakeUp(day::kCallersIdentity);
   });
-  CHECK(findings.broken[1] == 1);
+  CHECK(findings.violationCounts[1] == 1);
   CHECK(findings.unanswered == 1);
-  CHECK_FALSE(findings.kept());
+  CHECK_FALSE(findings.passed());
   REQUIRE(findings.violations.size() == 1);
   CHECK(findings.violations[0].text.find("office e1") != std::string::npos);
 }
@@ -49,7 +49,7 @@
 TEST_CASE("rule 2: a controller with two INVITEs out") {
   FleetFixture fixture(smallFleet(2, 10), rogueController({true, false}), "rule2");
   const auto findings = play(fixture, [&](TestPhone& phone) { dial(fixture, phone, 0, "210001"); });
-  CHECK(findings.broken[2] >= 1);
+  CHECK(findings.violationCounts[2] >= 1);
   REQUIRE_FALSE(findings.violations.empty());
   CHECK(findings.violations[0].rule == 2);
   CHECK(findings.violations[0].session != 0);
@@ -59,13 +59,13 @@
 TEST_CASE("rule 3: a controller that sends to a drained exchange") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule3");
   const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+    fixture.learns(1, Readiness::draining, fixture.at(1).incarnation());
     fixture.run(400);  // within the grace
     dial(fixture, phone, 0, "210001");
     fixture.run(1000);
     dial(fixture, phone, 0, "210002");
   });
-  CHECK(findings.broken[3] > 0);
+  CHECK(findings.violationCounts[3] > 0);
   CHECK(findings.violations[0].rule == 3);
   CHECK(findings.violations[0].atMs > 500);
 }
@@ -80,18 +80,18 @@
       fixture.run(5);
     }
   });
-  CHECK(findings.broken[4] > 0);
+  CHECK(findings.violationCounts[4] > 0);
   CHECK(findings.nearestToCold > 1);
-  CHECK(fixture.at(1).fallen());
+  CHECK(fixture.at(1).hasCollapsed());
 }
 
 TEST_CASE("rule 5: a controller that does not await the release") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule5");
   const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.at(1).hang(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
+    fixture.at(1).setHung(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
     dial(fixture, phone, 0, "210001");
   });
-  CHECK(findings.broken[5] > 0);
+  CHECK(findings.violationCounts[5] > 0);
   CHECK(findings.violations[0].rule == 5);
   CHECK(findings.violations[0].text.find("again 0 ms") != std::string::npos);
 }
--- a/tests/program/days.cpp
+++ b/tests/program/days.cpp
@@ -47,7 +47,7 @@
     CAPTURE(day::describe(report));
     CHECK(report.good());
     // A day that asks nothing of the rules proves nothing.
-    CHECK(report.findings.stood > 200);
+    CHECK(report.findings.established > 200);
     CHECK(report.service() > 0.3);
   }
 }
@@ -91,15 +91,15 @@
   // 85 erlangs at half load and half scale, 1.5 circuits for a second each.
   CHECK(day.plan.rate == doctest::Approx(0.25 * 85 / 1.5));
   CHECK(day.plan.faults.size() == 1 + 2);  // two stalls of 0.7 s, half a second apart
-  CHECK(std::any_of(day.left.begin(), day.left.end(),
+  CHECK(std::any_of(day.unsupported.begin(), day.unsupported.end(),
                     [](const std::string& one) { return one.starts_with("trouble retry_abuse"); }));
-  CHECK(std::any_of(day.left.begin(), day.left.end(),
+  CHECK(std::any_of(day.unsupported.begin(), day.unsupported.end(),
                     [](const std::string& one) { return one.starts_with("callers' backoff"); }));
   const day::Report report = play(day.plan);
   CAPTURE(day::describe(report));
   CHECK(report.good());
-  CHECK(report.findings.stood > 20);
-  CHECK(report.findings.twoLeg > 0);
+  CHECK(report.findings.established > 20);
+  CHECK(report.findings.tandemInvites > 0);
   std::ofstream(path) << text.substr(0, 400);
   CHECK_THROWS_WITH_AS(day::openBenchDay(path, 1), doctest::Contains("not JSON"), std::runtime_error);
   std::ofstream(path) << "{}";
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -135,15 +135,15 @@
     for (std::size_t i = 0; i < testbed_->fleet().places.size(); ++i) exchanges_.push_back(nullptr);
   }
   ~FleetFixture() {
-    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->remove(day::processorIdentity(static_cast<int>(i)));
-    testbed_->remove(day::kDirectory);
-    testbed_->remove(day::kCallers);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->detach(day::processorIdentity(static_cast<int>(i)));
+    testbed_->detach(day::kDirectoryIdentity);
+    testbed_->detach(day::kCallersIdentity);
     testbed_->runUntil(testbed_->now() + Span::ms(20));
     std::filesystem::remove(path_);
   }
 
   void open(bool withDirectory = true) {
-    if (withDirectory) testbed_->place(day::kDirectory, directory_);
+    if (withDirectory) testbed_->attach(day::kDirectoryIdentity, directory_);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) exchange(static_cast<int>(i), true);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
     run(1500);
@@ -151,25 +151,25 @@
   SimulatedExchange& exchange(int place, bool warm) {
     auto& at = exchanges_[static_cast<std::size_t>(place)];
     if (at != nullptr) {
-      testbed_->remove(day::processorIdentity(place));
+      testbed_->detach(day::processorIdentity(place));
       run(5);
       note("processor-started " + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
     }
     ProcessorModel model;
     model.setUpWork = 10;
-    model.followWork = 3.5;
-    model.turnAwayWork = 2;
+    model.followUpWork = 3.5;
+    model.rejectWork = 2;
     model.coldCapacityShare = 0.3;
     model.warmUpTime = Span::ms(8000);
     at = std::make_unique<SimulatedExchange>(model, 5 + static_cast<std::uint64_t>(place), testbed_->now(), warm);
-    testbed_->place(day::processorIdentity(place), *at);
+    testbed_->attach(day::processorIdentity(place), *at);
     return *at;
   }
   SimulatedExchange& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
   SimulatedDirectory& directory() { return directory_; }
   void learns(int place, Readiness readiness, std::uint64_t mark) {
-    directory_.learns(testbed_->now(), place, readiness, mark, Span::none());
-    testbed_->wakeUp(day::kDirectory);
+    directory_.setState(testbed_->now(), place, readiness, mark, Span::none());
+    testbed_->wakeUp(day::kDirectoryIdentity);
   }
   day::Testbed& testbed() { return *testbed_; }
   Instant now() const { return testbed_->now(); }
@@ -182,12 +182,12 @@
   iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
   /// What `field` of an office's account says.
   std::int64_t account(int place, const std::string& field) {
-    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
+    return boost::json::parse(testbed_->query(place, "thistlefold status 1\n").value())
         .at(field)
         .to_number<std::int64_t>();
   }
   std::int64_t freeCircuits(int place, int other) {
-    return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
+    return boost::json::parse(testbed_->query(place, "thistlefold status 1\n").value())
         .at("exchanges")
         .at(static_cast<std::size_t>(other))
         .at("free")
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -52,7 +52,7 @@
 
   Outcome play(double length) {
     fixture_.open();
-    fixture_.testbed().place(day::kCallers, phone_);
+    fixture_.testbed().attach(day::kCallersIdentity, phone_);
     fixture_.note("begin");
     fixture_.impairment = [this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>&) {
       return impairment(from, to);
@@ -67,9 +67,9 @@
     for (int i = 0; i < kPlaces; ++i) {
       if (frozen_[i]) fixture_.freeze(i, frozen_[i] = false);
       if (down_[i]) start(i);
-      fixture_.at(i).hang(fixture_.now(), false);
+      fixture_.at(i).setHung(fixture_.now(), false);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
-      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
+      fixture_.learns(i, Readiness::ready, fixture_.at(i).incarnation());
     }
     // The latest copies of the unrest are eight seconds late, and a peer's silence is believed after six.
     fixture_.run(12000);
@@ -83,7 +83,7 @@
       for (int j = 0; j < kPlaces; ++j) {
         if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.atRest += "circuits are held; ";
       }
-      if (fixture_.at(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
+      if (fixture_.at(i).establishedSessions() != 0) outcome.atRest += "a session stands at an exchange; ";
     }
     // Peace serves again what is offered.
     const int before = phone_.count("ANSWER");
@@ -92,7 +92,7 @@
     if (phone_.count("ANSWER") != before + kPlaces) outcome.atRest += "peace does not serve what is offered; ";
     outcome.findings = fixture_.findings();
     outcome.trace = contents(fixture_.path());
-    fixture_.testbed().remove(day::kCallers);
+    fixture_.testbed().detach(day::kCallersIdentity);
     fixture_.run(10);
     return outcome;
   }
@@ -116,11 +116,11 @@
     phone_.dial(fixture_.now(), fixture_.office(from),
                 std::to_string(20 + to) + std::to_string(1000 + chance_() % 9000), Span::ms(500 + 4000 * lot()),
                 service);
-    fixture_.testbed().wakeUp(day::kCallers);
+    fixture_.testbed().wakeUp(day::kCallersIdentity);
   }
   void hangUp(iax2::Call& call) {
     phone_.endpoint().hangUp(fixture_.now(), call, iax2::Iax::HANGUP, {});
-    fixture_.testbed().wakeUp(day::kCallers);
+    fixture_.testbed().wakeUp(day::kCallersIdentity);
   }
   void start(int i) {
     fixture_.note("start e" + std::to_string(i + 1));
@@ -146,10 +146,10 @@
       fixture_.testbed().killOffice(i);
       down_[i] = true;
     } else if (what < 0.94) {
-      fixture_.at(i).hang(fixture_.now(), lot() < 0.5);
+      fixture_.at(i).setHung(fixture_.now(), lot() < 0.5);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
     } else if (what < 0.96) {
-      fixture_.learns(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.at(i).mark());
+      fixture_.learns(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.at(i).incarnation());
     } else if (what < 0.965) {
       deafFrom_ = fixture_.office(i);
       deafTo_ = fixture_.office((i + 1) % kPlaces);
@@ -157,10 +157,11 @@
     } else if (what < 0.98) {
       // Another processor in its place; the directory tells sooner or later.
       fixture_.exchange(i, false);
-      fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.at(i).mark(), Span::ms(1500 * lot()));
-      fixture_.testbed().wakeUp(day::kDirectory);
+      fixture_.directory().setState(fixture_.now(), i, Readiness::ready, fixture_.at(i).incarnation(),
+                                    Span::ms(1500 * lot()));
+      fixture_.testbed().wakeUp(day::kDirectoryIdentity);
     } else {
-      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
+      fixture_.learns(i, Readiness::ready, fixture_.at(i).incarnation());
     }
   }
 
@@ -186,8 +187,8 @@
   std::vector<Line> packets;
   const auto identity = [](const std::string& name) {
     const int number = name.size() == 2 ? name[1] - '1' : 0;
-    return name == "caller"      ? day::kCallers
-           : name == "directory" ? day::kDirectory
+    return name == "caller"      ? day::kCallersIdentity
+           : name == "directory" ? day::kDirectoryIdentity
            : name == "script"    ? capture::kScript
            : name[0] == 'x'      ? day::processorIdentity(number)
                                  : day::officeIdentity(number);
@@ -255,10 +256,10 @@
     const Outcome outcome = Unrest(seed, "seeded").play(15000);
     CAPTURE(seed);
     CAPTURE(audit::describe(outcome.findings));
-    CHECK(outcome.findings.kept());
+    CHECK(outcome.findings.passed());
     CHECK(outcome.atRest == "");
-    tries += outcome.findings.tries;
-    stood += outcome.findings.stood;
+    tries += outcome.findings.attempts;
+    stood += outcome.findings.established;
     invites += outcome.findings.invites;
   }
   CHECK(tries > 1250);
@@ -276,14 +277,14 @@
 TEST_CASE("a history that breaks one rule is rejected for that rule and no other") {
   const std::string path =
       (std::filesystem::temp_directory_path() / ("thistlefold-history-" + std::to_string(::getpid()))).string();
-  const Fleet fleet = day::identified(smallFleet(2, 200));
+  const Fleet fleet = day::withIdentityAddresses(smallFleet(2, 200));
   for (int rule = 1; rule <= 5; ++rule) {
     writeCapture("tests/histories/rule-" + std::to_string(rule) + ".frames", path);
     const audit::Findings findings = audit::audit(fleet, path, audit::kVirtualTolerance);
     CAPTURE(rule);
     CAPTURE(audit::describe(findings));
-    for (int other = 1; other <= 5; ++other) CHECK((findings.broken[other] > 0) == (other == rule));
-    CHECK_FALSE(findings.kept());
+    for (int other = 1; other <= 5; ++other) CHECK((findings.violationCounts[other] > 0) == (other == rule));
+    CHECK_FALSE(findings.passed());
   }
   std::filesystem::remove(path);
 }
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 struct Dialler {
-  explicit Dialler(FleetFixture& of) : fixture(of) { fixture.testbed().place(day::kCallers, phone); }
+  explicit Dialler(FleetFixture& of) : fixture(of) { fixture.testbed().attach(day::kCallersIdentity, phone); }
   iax2::Call* dial(int office, const std::string& number, Span limit = Span::ms(3000)) {
     iax2::Call* call = phone.dial(fixture.now(), fixture.office(office), number, limit);
-    fixture.testbed().wakeUp(day::kCallers);
+    fixture.testbed().wakeUp(day::kCallersIdentity);
     return call;
   }
   void hangUp(iax2::Call& call) {
     phone.endpoint().hangUp(fixture.now(), call, iax2::Iax::HANGUP, {});
-    fixture.testbed().wakeUp(day::kCallers);
+    fixture.testbed().wakeUp(day::kCallersIdentity);
   }
   FleetFixture& fixture;
   TestPhone phone{99};
@@ -46,14 +46,14 @@
   CHECK(callers.phone.count("ANSWER") == 1);
   CHECK(fixture.freeCircuits(0, 1) == 9);
   CHECK(fixture.freeCircuits(1, 0) == 9);
-  CHECK(fixture.at(1).standing() == 1);
+  CHECK(fixture.at(1).establishedSessions() == 1);
   callers.hangUp(*call);
   fixture.run(300);
   checkAtRest(fixture, 10);
-  CHECK(fixture.at(1).standing() == 0);
+  CHECK(fixture.at(1).establishedSessions() == 0);
   const auto findings = fixture.findings();
-  CHECK(findings.kept());
-  CHECK(findings.stood == 1);
+  CHECK(findings.passed());
+  CHECK(findings.established == 1);
 }
 
 TEST_CASE("unknown numbers and services are refused once, with their own causes") {
@@ -65,16 +65,16 @@
   CHECK(callers.phone.count("REJECT") == 1);
   CHECK(callers.phone.lastCause == 3);
   callers.phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "no-such-service");
-  fixture.testbed().wakeUp(day::kCallers);
+  fixture.testbed().wakeUp(day::kCallersIdentity);
   fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 2);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("an exchange that takes set-ups and answers none costs each session one answer in time") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.open();
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.at(1).setHung(fixture.now(), true);
   Dialler callers(fixture);
   for (int i = 0; i < 5; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(3500);
@@ -83,7 +83,7 @@
   fixture.run(8000);
   checkAtRest(fixture, 10);
   const auto findings = fixture.findings();
-  CHECK(findings.kept());
+  CHECK(findings.passed());
   CHECK(findings.unanswered == 0);
 }
 
@@ -101,10 +101,10 @@
   CHECK(callers.phone.count("ANSWER") == 0);
   CHECK(callers.phone.finals() == 1);
   CHECK(fixture.account(0, "timed_out") == 1);
-  CHECK(fixture.at(1).counters().stood == 1);
-  CHECK(fixture.at(1).standing() == 0);
+  CHECK(fixture.at(1).counters().established == 1);
+  CHECK(fixture.at(1).establishedSessions() == 0);
   checkAtRest(fixture, 10);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("the last circuit seized from both ends at once: one session stands, one is turned back, counts agree") {
@@ -115,15 +115,15 @@
   iax2::Call* b = callers.dial(1, "200001");
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.at(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
-  CHECK(fixture.at(0).standing() == 0);
+  CHECK(fixture.at(1).establishedSessions() == 1);  // the controlling end, of the lower place, keeps its own
+  CHECK(fixture.at(0).establishedSessions() == 0);
   CHECK(fixture.freeCircuits(0, 1) == 0);
   CHECK(fixture.freeCircuits(1, 0) == 0);
   callers.hangUp(*a);
   fixture.run(3000);
   (void)b;
   checkAtRest(fixture, 1);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("a group's two counts, by themselves") {
@@ -152,7 +152,7 @@
   fixture.run(100);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i), Span::ms(9000));
   fixture.run(100);
-  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.learns(1, Readiness::draining, fixture.at(1).incarnation());
   fixture.run(1500);  // three times the grace
   fixture.freeze(0, false);
   fixture.run(400);
@@ -160,7 +160,7 @@
   CHECK(callers.phone.finals() == 4);
   CHECK(fixture.at(1).counters().setUps == 0);
   const auto findings = fixture.findings();
-  CHECK(findings.kept());
+  CHECK(findings.passed());
   CHECK(findings.invites == 0);
 }
 
@@ -168,7 +168,7 @@
   FleetFixture fixture(smallFleet(2, 10));
   fixture.open();
   // A new processor under the office's nose: the INVITE that the old one held is reset.
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.at(1).setHung(fixture.now(), true);
   Dialler callers(fixture);
   callers.dial(0, "210001");
   fixture.run(400);
@@ -180,7 +180,7 @@
   CHECK(fixture.account(0, "reset") == 1);
   CHECK(fixture.account(0, "invites") == 2);
   const auto findings = fixture.findings();
-  CHECK(findings.kept());
+  CHECK(findings.passed());
 }
 
 TEST_CASE("with the directory dead from the start every session is refused at once") {
@@ -190,7 +190,7 @@
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 3);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("an office that was killed with sessions standing comes back on its address and all counts agree") {
@@ -213,7 +213,7 @@
   callers.dial(0, "210009");
   fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 8);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("a peer that falls silent is given up and its circuits with it, and it is taken back") {
@@ -236,7 +236,7 @@
   callers.dial(0, "210002");
   fixture.run(3000);
   CHECK(callers.phone.count("ANSWER") == 2);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("a lost tandem leg, a turn-back and a two-leg session") {
@@ -259,21 +259,21 @@
   callers.dial(0, "220002");
   fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 2);
-  fixture.directory().resized(fixture.now(), {1, 2, 0});
-  fixture.testbed().wakeUp(day::kDirectory);
+  fixture.directory().setGroupSize(fixture.now(), {1, 2, 0});
+  fixture.testbed().wakeUp(day::kDirectoryIdentity);
   fixture.run(500);
   CHECK(callers.phone.count("HANGUP") == 1);
   callers.dial(0, "220003");
   fixture.run(3000);
   CHECK(callers.phone.count("ANSWER") == 2);
   CHECK(fixture.account(0, "turned_back") >= 1);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("SIGTERM's work: nothing new, one answer each for what is held, gone within two seconds") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.open();
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.at(1).setHung(fixture.now(), true);
   Dialler callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   iax2::Call* stands = callers.dial(1, "200001");
@@ -289,7 +289,7 @@
   CHECK(fixture.account(0, "sessions") == 0);
   CHECK(fixture.account(0, "legs") == 0);
   CHECK(fixture.freeCircuits(1, 0) == 10);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("the bound on sessions: more are refused at once and counted") {
@@ -373,7 +373,7 @@
   fixture.run(6000);
   CHECK(callers.phone.count("HANGUP") == 0);
   CHECK(fixture.account(0, "cut") == 0);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("what an exchange could take is not told of the one in its place, nor of one that is gone") {
@@ -386,7 +386,7 @@
     iax2::Frame frame;
     const bool read = iax2::decode(bytes, frame) == iax2::DecodeResult::full;
     // The first office's own list lags, as lists do, so that it goes on sending.
-    if (blind && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
+    if (blind && from == day::kDirectoryIdentity && to == day::officeIdentity(0)) return std::vector<Span>();
     if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
         frame.is(iax2::Iax::REJECT)) {
       ++refused;
@@ -396,8 +396,8 @@
   };
   blind = true;
   // Its process is replaced by one that hangs from the start: it gives signs of life, and says nothing of its room.
-  fixture.exchange(1, false).hang(fixture.now(), true);
-  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.exchange(1, false).setHung(fixture.now(), true);
+  fixture.learns(1, Readiness::draining, fixture.at(1).incarnation());
   fixture.run(350);
   callers.dial(0, "210001");
   fixture.run(100);
@@ -432,9 +432,9 @@
   FleetFixture fixture(smallFleet(2, 10));
   fixture.open();
   TestPhone bell(3);
-  fixture.testbed().remove(day::processorIdentity(1));
+  fixture.testbed().detach(day::processorIdentity(1));
   fixture.run(5);
-  fixture.testbed().place(day::processorIdentity(1), bell);
+  fixture.testbed().attach(day::processorIdentity(1), bell);
   Dialler callers(fixture);
   callers.dial(0, "210001");
   fixture.run(100);
@@ -452,7 +452,7 @@
   fixture.run(100);
   CHECK(callers.phone.count("RINGING") == 1);
   CHECK(callers.phone.count("ANSWER") == 1);
-  fixture.testbed().remove(day::processorIdentity(1));
+  fixture.testbed().detach(day::processorIdentity(1));
   fixture.run(10);
 }
 
@@ -485,7 +485,7 @@
   CHECK(callers.phone.count("ANSWER") == 1);
   CHECK(fixture.account(0, "invites") == 1);
   CHECK(fixture.account(0, "reset") == 0);
-  CHECK(fixture.findings().kept());
+  CHECK(fixture.findings().passed());
 }
 
 TEST_CASE("late copies of a peer's last sign of life neither keep it alive nor bring it back") {
@@ -503,7 +503,7 @@
   REQUIRE(callers.phone.count("ANSWER") == 1);
   parted = true;
   const auto silent = [&] {
-    return boost::json::parse(fixture.testbed().ask(0, "thistlefold status 1\n").value())
+    return boost::json::parse(fixture.testbed().query(0, "thistlefold status 1\n").value())
         .at("exchanges")
         .at(1)
         .at("silent")
--- a/tests/program/settings.cpp
+++ b/tests/program/settings.cpp
@@ -115,7 +115,7 @@
   CHECK(plan(1).faults[0].places == plan(1).faults[0].places);
   CHECK(plan(1).faults[0].at == plan(1).faults[0].at);
   CHECK(plan(1).faults[0].at != plan(2).faults[0].at);
-  const auto a = day::traffic(plan(3)), b = day::traffic(plan(3));
+  const auto a = day::drawTraffic(plan(3)), b = day::drawTraffic(plan(3));
   REQUIRE(a.size() == b.size());
   REQUIRE(a.size() > 50);
   CHECK(a.back().at == b.back().at);
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -94,18 +94,18 @@
   FleetFixture fixture(fleet, makeController, "zones");
   fixture.open();
   TestPhone phone(99);
-  fixture.testbed().place(day::kCallers, phone);
+  fixture.testbed().attach(day::kCallersIdentity, phone);
   iax2::Call* direct = phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "wide");
   iax2::Call* over = phone.dial(fixture.now(), fixture.office(0), "220001");
-  fixture.testbed().wakeUp(day::kCallers);
+  fixture.testbed().wakeUp(day::kCallersIdentity);
   fixture.run(1000);
   REQUIRE(phone.count("ANSWER") == 2);
   phone.endpoint().hangUp(fixture.now(), *direct, iax2::Iax::HANGUP, {});
   phone.endpoint().hangUp(fixture.now(), *over, iax2::Iax::HANGUP, {});
-  fixture.testbed().wakeUp(day::kCallers);
+  fixture.testbed().wakeUp(day::kCallersIdentity);
   fixture.run(1000);
   const auto read = [&](int place) {
-    return boost::json::parse(fixture.testbed().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array();
+    return boost::json::parse(fixture.testbed().query(place, "thistlefold zones 1\n").value()).at("cells").as_array();
   };
   const auto first = read(0), second = read(1);
   REQUIRE(first.size() == 2);
@@ -125,10 +125,10 @@
   CHECK(first[1].at("circuit_us").as_int64() > 4000000);
   CHECK(first[1].at("circuit_us").as_int64() < 4200000);
   const auto findings = fixture.findings();
-  CHECK(findings.crossed.at({"home", "away", "call", "first"}) == audit::ZoneLegCounts{1, 1});
-  CHECK(findings.crossed.at({"away", "far", "call", "second"}) == audit::ZoneLegCounts{1, 1});
-  CHECK(findings.kept());
-  fixture.testbed().remove(day::kCallers);
+  CHECK(findings.zoneLegs.at({"home", "away", "call", "first"}) == audit::ZoneLegCounts{1, 1});
+  CHECK(findings.zoneLegs.at({"away", "far", "call", "second"}) == audit::ZoneLegCounts{1, 1});
+  CHECK(findings.passed());
+  fixture.testbed().detach(day::kCallersIdentity);
   fixture.run(10);
 }
 
@@ -345,14 +345,14 @@
   FleetFixture fixture(fleet, makeController, "zones-third");
   fixture.open();
   TestPhone phone(99);
-  fixture.testbed().place(day::kCallers, phone);
+  fixture.testbed().attach(day::kCallersIdentity, phone);
   for (int i = 0; i < 8; ++i) {
     phone.dial(fixture.now(), fixture.office(0), "22000" + std::to_string(i));
-    fixture.testbed().wakeUp(day::kCallers);
+    fixture.testbed().wakeUp(day::kCallersIdentity);
     fixture.run(3000);
   }
   const auto budget = [&](int place) {
-    return boost::json::parse(fixture.testbed().ask(place, "thistlefold zones 1\n").value())
+    return boost::json::parse(fixture.testbed().query(place, "thistlefold zones 1\n").value())
         .at("budgets")
         .as_array()[0];
   };
@@ -363,7 +363,7 @@
   CHECK(budget(0).at("held").as_int64() == stand);
   CHECK(budget(1).at("held").as_int64() == stand);
   CHECK(budget(1).at("part").as_int64() == 4);
-  CHECK(fixture.findings().kept());
-  fixture.testbed().remove(day::kCallers);
+  CHECK(fixture.findings().passed());
+  fixture.testbed().detach(day::kCallersIdentity);
   fixture.run(10);
 }
