--- a/src/audit/session_trace.cpp
+++ b/src/audit/session_trace.cpp
@@ -14,15 +14,15 @@
 
 using iax2::Address;
 
-/// One call, whoever sends: the lower end first.
+/// One call, the same for both directions: the end with the lower address comes first.
 using CallKey = std::tuple<Address, std::uint16_t, Address, std::uint16_t>;
 
-std::string nameOf(const Fleet& fleet, Address at) {
+std::string nameOf(const Fleet& fleet, Address address) {
   for (const Place& place : fleet.places) {
-    if (place.office == at) return "office " + place.name;
-    if (place.processor == at) return "exchange " + place.name;
+    if (place.office == address) return "office " + place.name;
+    if (place.processor == address) return "exchange " + place.name;
   }
-  return text(at);
+  return text(address);
 }
 
 CallKey key(const capture::Packet& packet, const iax2::Frame& frame) {
@@ -33,19 +33,19 @@
 }  // namespace
 
 std::size_t sessionTrace(const Fleet& fleet, const std::string& capturePath, std::uint64_t session, std::ostream& out) {
-  // First the call numbers that frames of this session name, then all frames of these calls. A NEW has no number of
-  // the other end yet.
+  // The first pass collects the calls whose frames name this session, the second prints all frames of these calls. The
+  // first frames of a call lack the call number of one end, so a call is entered without each of them as well.
   std::set<CallKey> calls;
-  const auto walk = [&](const std::function<void(const capture::Packet&, const iax2::Frame&, Instant)>& each) {
-    Instant begin = Instant::never();
+  const auto forEachFrame = [&](const std::function<void(const capture::Packet&, const iax2::Frame&, Instant)>& visit) {
+    Instant start = Instant::never();
     capture::read(capturePath, [&](const capture::Packet& packet) {
-      if (begin == Instant::never()) begin = packet.at;
+      if (start == Instant::never()) start = packet.at;
       iax2::Frame frame;
       if (packet.from == capture::kScript || iax2::decode(packet.payload, frame) != iax2::DecodeResult::full) return;
-      each(packet, frame, begin);
+      visit(packet, frame, start);
     });
   };
-  walk([&](const capture::Packet& packet, const iax2::Frame& frame, Instant) {
+  forEachFrame([&](const capture::Packet& packet, const iax2::Frame& frame, Instant) {
     if (frame.elements.session != session) return;
     calls.insert(key(packet, frame));
     iax2::Frame opening = frame;
@@ -56,10 +56,10 @@
     calls.insert(key(packet, opening));
   });
   std::size_t count = 0;
-  walk([&](const capture::Packet& packet, const iax2::Frame& frame, Instant begin) {
+  forEachFrame([&](const capture::Packet& packet, const iax2::Frame& frame, Instant start) {
     if (!calls.contains(key(packet, frame))) return;
     ++count;
-    out << std::fixed << std::setprecision(3) << std::setw(9) << (packet.at - begin).ms() / 1000 << ' '
+    out << std::fixed << std::setprecision(3) << std::setw(9) << (packet.at - start).ms() / 1000 << ' '
         << (packet.delivered ? "got " : "sent") << ' ' << nameOf(fleet, packet.from) << " -> "
         << nameOf(fleet, packet.to) << "  " << frame.source << "/" << frame.destination << "  " << name(frame) << " o"
         << static_cast<int>(frame.oseq) << " i" << static_cast<int>(frame.iseq)
@@ -72,14 +72,14 @@
 }
 
 std::vector<std::uint64_t> sessions(const std::string& capturePath) {
-  std::vector<std::uint64_t> all;
+  std::vector<std::uint64_t> inOrder;
   std::set<std::uint64_t> known;
   capture::read(capturePath, [&](const capture::Packet& packet) {
     iax2::Frame frame;
     if (iax2::decode(packet.payload, frame) != iax2::DecodeResult::full || !frame.elements.session) return;
-    if (known.insert(*frame.elements.session).second) all.push_back(*frame.elements.session);
+    if (known.insert(*frame.elements.session).second) inOrder.push_back(*frame.elements.session);
   });
-  return all;
+  return inOrder;
 }
 
 }  // namespace thistlefold::audit
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -1,4 +1,4 @@
-// The audit must be able to fail: a controller that breaks a rule in the module's place is named for it.
+// The audit must be able to fail: for each rule, a controller that violates it is detected.
 
 #include "fleet_fixture.hpp"
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-audit::Findings play(FleetFixture& fixture, const std::function<void(TestPhone&)>& what) {
+audit::Findings playAndAudit(FleetFixture& fixture, const std::function<void(TestPhone&)>& script) {
   fixture.open();
   TestPhone phone(99);
   fixture.testbed().attach(day::kCallersIdentity, phone);
   fixture.note("begin");
-  what(phone);
+  script(phone);
   fixture.run(12000);
   const audit::Findings findings = fixture.findings();
   fixture.testbed().detach(day::kCallersIdentity);
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-TEST_CASE("rule 1: a controller that answers nobody") {
+TEST_CASE("rule 1: a controller that gives no final answer") {
   FleetFixture fixture(smallFleet(2, 10), rogueController({false, true}), "rule1");
-  const auto findings = play(fixture, [&](TestPhone& phone) {
+  const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
     iax2::Call* call = phone.dial(fixture.now(), fixture.office(0), "210001");
     fixture.testbed().wakeUp(day::kCallersIdentity);
     fixture.run(3000);  // the caller's limit
@@ -46,9 +46,9 @@
   CHECK(findings.violations[0].text.find("office e1") != std::string::npos);
 }
 
-TEST_CASE("rule 2: a controller with two INVITEs out") {
+TEST_CASE("rule 2: a controller with two INVITEs pending") {
   FleetFixture fixture(smallFleet(2, 10), rogueController({true, false}), "rule2");
-  const auto findings = play(fixture, [&](TestPhone& phone) { dial(fixture, phone, 0, "210001"); });
+  const auto findings = playAndAudit(fixture, [&](TestPhone& phone) { dial(fixture, phone, 0, "210001"); });
   CHECK(findings.violationCounts[2] >= 1);
   REQUIRE_FALSE(findings.violations.empty());
   CHECK(findings.violations[0].rule == 2);
@@ -58,7 +58,7 @@
 
 TEST_CASE("rule 3: a controller that sends to a drained exchange") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule3");
-  const auto findings = play(fixture, [&](TestPhone& phone) {
+  const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
     fixture.learns(1, Readiness::draining, fixture.at(1).incarnation());
     fixture.run(400);  // within the grace
     dial(fixture, phone, 0, "210001");
@@ -70,11 +70,12 @@
   CHECK(findings.violations[0].atMs > 500);
 }
 
-TEST_CASE("rule 4: a controller that rushes a cold exchange") {
+TEST_CASE("rule 4: a controller that overloads a cold exchange") {
   FleetFixture fixture(smallFleet(2, 300), rogueController(), "rule4");
-  const auto findings = play(fixture, [&](TestPhone& phone) {
+  const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
     fixture.exchange(1, false);
-    // 100 set-ups a second when warm, a third of that now: 150 within a second are more than three times as many.
+    // The exchange sets up 100 sessions a second when warm and 30% of that when cold: at 200 a second it is sent more
+    // than three times what it can set up.
     for (int i = 0; i < 170; ++i) {
       dial(fixture, phone, 0, "21" + std::to_string(1000 + i));
       fixture.run(5);
@@ -87,8 +88,8 @@
 
 TEST_CASE("rule 5: a controller that does not await the release") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule5");
-  const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.at(1).setHung(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
+  const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
+    fixture.at(1).setHung(fixture.now(), true);  // INVITEs time out after 400 ms and are repeated at once
     dial(fixture, phone, 0, "210001");
   });
   CHECK(findings.violationCounts[5] > 0);
@@ -96,7 +97,7 @@
   CHECK(findings.violations[0].text.find("again 0 ms") != std::string::npos);
 }
 
-TEST_CASE("a capture reads back what was written, and a torn one is named") {
+TEST_CASE("a capture reads back what was written, and a truncated one is reported") {
   const auto path =
       (std::filesystem::temp_directory_path() / ("thistlefold-cap-" + std::to_string(::getpid()))).string();
   const std::vector<std::uint8_t> payload{1, 2, 3, 4, 5};
