--- a/src/day/bench_day.hpp
+++ b/src/day/bench_day.hpp
@@ -9,6 +9,7 @@
 
 namespace thistlefold::day {
 
+/// A converted day.
 struct BenchDay {
   DayPlan plan;
   std::vector<std::string> unsupported;  // what could not be converted, a line each
--- a/src/day/script.hpp
+++ b/src/day/script.hpp
@@ -16,24 +16,24 @@
 
 /// A fault that is injected during a day. `check --explain` prints what each kind does.
 struct Fault {
-  /// Named like the keywords in day files.
+  /// Named like the keywords in day files. `x` is the fault's magnitude.
   enum class Kind {
-    hang,
-    slow,
-    age,
-    crash,
-    vanish,
-    replace,
-    cut,
-    freeze,
-    kill,
-    burst,
-    hotCaller,
-    network,
-    directory,
-    loseCircuits,
-    massCall,
-    budget
+    hang,          // processors queue set-ups but process none
+    slow,          // processors take x times as long for all work
+    age,           // processors become twice as slow every x milliseconds and crash at the end
+    crash,         // processors stop at once and come back cold
+    vanish,        // like crash, but the directory takes longer to notice it
+    replace,       // processors are drained, then replaced by cold ones
+    cut,           // the share x of the established sessions is aborted
+    freeze,        // offices stop processing and go on later
+    kill,          // offices are killed and restarted
+    burst,         // all callers dial x times as often
+    hotCaller,     // the callers of some offices dial x times as often
+    network,       // datagrams are lost, duplicated, delayed or truncated
+    directory,     // the directory sends nothing
+    loseCircuits,  // trunk groups from some exchanges to the others keep the share x of their circuits
+    massCall,      // the share x of all sessions dials one number
+    budget         // a budget between zones is changed to x circuits
   };
   Kind kind;
   Span at;  // since the begin of the day
@@ -55,6 +55,7 @@
   double loss = 0;                                        // share of all datagrams
 };
 
+/// A day as its file describes it.
 struct DayPlan {
   std::string name;
   std::uint64_t seed = 1;
--- a/src/day/testbed.hpp
+++ b/src/day/testbed.hpp
@@ -31,6 +31,7 @@
   using std::runtime_error::runtime_error;
 };
 
+/// Runs the offices of a fleet and the simulators around them, and carries the datagrams between them.
 class Testbed {
  public:
   virtual ~Testbed() = default;
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -11,6 +11,7 @@
 
 namespace thistlefold {
 
+/// The directory of a fleet. It sends a full list at intervals and on request, and changes when they are announced.
 class SimulatedDirectory final : public DatagramHandler {
  public:
   /// `offices` are sent lists without asking; others get them on request. All exchanges are ready at first, and have
--- a/src/simulators/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -27,6 +27,7 @@
   std::map<std::string, int> lineCounts;  // called numbers with a limited number of lines
 };
 
+/// One exchange, behind the address of its processor.
 class SimulatedExchange final : public DatagramHandler, private iax2::CallListener {
  public:
   /// `warm`: the processor has been running for at least its warm-up time.
