--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -450,7 +450,7 @@
     if (sender.zone == receiver.zone || !frame.elements.towards) return std::nullopt;
     // The highest bits of a session's number name the office that owns it: a leg of another office's session is the
     // second leg of a path over a tandem.
-    const bool ownSession = *frame.elements.session >> 52 == static_cast<std::uint64_t>(from + 1);
+    const bool ownSession = *frame.elements.session >> 52 == static_cast<std::uint64_t>(from) + 1;
     const char* part = !ownSession ? "second" : *frame.elements.towards == to ? "direct" : "first";
     return ZoneLeg{sender.zone, receiver.zone, std::string(frame.elements.calledContext), part};
   }
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -117,7 +117,8 @@
     }
     for (int a = 0; a < count_; ++a) {
       for (int b = a + 1; b < count_; ++b) {
-        const int size = trunkFields.at("size").at(static_cast<std::size_t>(a * count_ + b)).to_number<int>();
+        const auto index = static_cast<std::size_t>(a) * static_cast<std::size_t>(count_) + static_cast<std::size_t>(b);
+        const int size = trunkFields.at("size").at(index).to_number<int>();
         // At least as many as the widest service needs, or a scaled-down group could not carry it at all.
         if (size > 0)
           fleet.groups.push_back({a, b, std::max(widestService(), static_cast<int>(std::lround(scale_ * size)))});
--- a/src/day/loopback_testbed.cpp
+++ b/src/day/loopback_testbed.cpp
@@ -37,6 +37,7 @@
     if (::pipe2(pipeEnds, O_CLOEXEC) != 0) throw TestbedError("can't create a pipe for an office process");
     const int log = ::open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     std::vector<char*> arguments;
+    arguments.reserve(command.size() + 1);
     for (const std::string& argument : command) arguments.push_back(const_cast<char*>(argument.c_str()));
     arguments.push_back(nullptr);
     const pid_t parent = ::getpid();
@@ -117,7 +118,8 @@
     writeFile(fleetPath_, settings::writeFleet(fleet_));
     queryPort_ = net::bindPort(context_.get_executor(), kAnyPort);
   }
-  ~LoopbackTestbed() override {
+  // A handler that throws while the testbed is destroyed ends the process.
+  ~LoopbackTestbed() override {  // NOLINT(bugprone-exception-escape): a failure in a handler must not be hidden
     for (auto& [identity, relay] : relayPorts_) {
       relay->runner.reset();
       relay->port->close();
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -144,8 +144,10 @@
       if (!freeCircuits.contains({a, b}) || !freeCircuits.contains({b, a})) continue;
       const auto freeAtA = freeCircuits[{a, b}], freeAtB = freeCircuits[{b, a}];
       if (freeAtA != freeAtB || freeAtA != group.circuits) {
-        report.groupDifferences.push_back(a + " and " + b + ": " + std::to_string(freeAtA) + " and " +
-                                          std::to_string(freeAtB) + " of " + std::to_string(group.circuits) + " free");
+        std::string line = a;
+        line.append(" and ").append(b).append(": ").append(std::to_string(freeAtA)).append(" and ");
+        line.append(std::to_string(freeAtB)).append(" of ").append(std::to_string(group.circuits)).append(" free");
+        report.groupDifferences.push_back(std::move(line));
       }
     }
   }
@@ -216,9 +218,11 @@
       if (at >= enforcedFrom && enforcedFrom != Instant::longAgo()) tolerated = 0;
       peak = std::max(peak, circuits);
       if (circuits > std::max(limit, tolerated) && !std::exchange(exceeded, true)) {
-        report.zoneDifferences.push_back("budget exceeded: " + from + " to " + to + ": " + std::to_string(circuits) +
-                                         " circuits in use, of " + std::to_string(limit) + ", " +
-                                         std::to_string((at - begin_).ms()) + " ms into the day");
+        std::string line = "budget exceeded: ";
+        line.append(from).append(" to ").append(to).append(": ").append(std::to_string(circuits));
+        line.append(" circuits in use, of ").append(std::to_string(limit)).append(", ");
+        line.append(std::to_string((at - begin_).ms())).append(" ms into the day");
+        report.zoneDifferences.push_back(std::move(line));
       }
     }
     reportPeak();
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -27,7 +27,8 @@
         makeController_(std::move(make)),
         clock_(context_),
         network_(clock_) {}
-  ~VirtualTestbed() override {
+  // A handler that throws while the testbed is destroyed ends the process.
+  ~VirtualTestbed() override {  // NOLINT(bugprone-exception-escape): a failure in a handler must not be hidden
     // The coroutines must end before the objects that they refer to.
     for (auto& [identity, host] : hosts_) {
       host->port->close();
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -17,7 +17,7 @@
   fixture.note("begin");
   script(phone);
   fixture.run(12000);
-  const audit::Findings findings = fixture.findings();
+  audit::Findings findings = fixture.findings();
   fixture.testbed().detach(day::kCallersIdentity);
   fixture.run(10);
   return findings;
