--- a/bench/office_bench.cpp
+++ b/bench/office_bench.cpp
@@ -49,7 +49,7 @@
 };
 
 /// With `across`, the measured office is in a zone of its own and every leg crosses.
-Fleet fleetOf(int places, bool across, int budget, zones::Dividing dividing) {
+Fleet fleetOf(int places, bool across, int budget, zones::Division division) {
   Fleet fleet;
   fleet.offeredServices = {{"call", 1}};
   Service service;
@@ -75,7 +75,7 @@
     zones::Budget one;
     one.to = 1;
     one.circuits = budget;
-    one.dividing = dividing;
+    one.division = division;
     fleet.budgets.push_back(one);
   }
   return fleet;
@@ -115,8 +115,8 @@
 
 struct Bench {
   Bench(int places, const ControllerFactory& make, bool across = false, int budget = 0,
-        zones::Dividing dividing = zones::Dividing::equal)
-      : fleet(fleetOf(places, across, budget, dividing)), office(fleet, setting(), now, make) {
+        zones::Division division = zones::Division::equal)
+      : fleet(fleetOf(places, across, budget, division)), office(fleet, setting(), now, make) {
     ExchangeList list{1, 1, true, {}, {}};
     for (int i = 0; i < places; ++i) list.entries.push_back({i, Readiness::ready, 1, Span::ms(1e6)});
     const std::string text = encode(list);
@@ -183,8 +183,8 @@
 
 /// A session from NEW to the confirmed HANGUP, ten a round.
 void session(benchmark::State& state, const ControllerFactory& make, bool across = false, int budget = 0,
-             zones::Dividing dividing = zones::Dividing::equal) {
-  Bench bench(static_cast<int>(state.range(0)), make, across, budget, dividing);
+             zones::Division division = zones::Division::equal) {
+  Bench bench(static_cast<int>(state.range(0)), make, across, budget, division);
   constexpr int kAtOnce = 10;
   for (auto _ : state) {
     for (int i = 0; i < kAtOnce; ++i) bench.dial();
@@ -202,7 +202,7 @@
 // The same sessions, with every leg across zones: in the account, and under a budget that never binds.
 void sessionAcross(benchmark::State& state) { session(state, makeController, true); }
 void sessionBudget(benchmark::State& state) { session(state, makeController, true, 900000); }
-void sessionLent(benchmark::State& state) { session(state, makeController, true, 900000, zones::Dividing::lent); }
+void sessionLent(benchmark::State& state) { session(state, makeController, true, 900000, zones::Division::lending); }
 
 void memoryStanding(benchmark::State& state) {
   for (auto _ : state) {
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -163,19 +163,19 @@
       if (a < b) mesh.groups.push_back({a, b, 24, a % 3 == b % 3 ? 1.0 : 2.0});
       if (a == b) continue;
       const double load = 1 + 9 * std::generate_canonical<double, 30>(chance);
-      mesh.loads[mesh.at(a, b, 0)] = 0.8 * load;
-      mesh.loads[mesh.at(a, b, 1)] = 0.05 * load;
+      mesh.loads[mesh.loadIndex(a, b, 0)] = 0.8 * load;
+      mesh.loads[mesh.loadIndex(a, b, 1)] = 0.05 * load;
     }
   }
-  dimension::Wish wish;
+  dimension::DimensioningTarget wish;
   wish.loss = {0.01, 0.02};
   for (auto _ : state) {
     const dimension::Advice advice = dimension::advise(mesh, wish);
-    const auto alone = dimension::perGroup(mesh, wish);
+    const auto alone = dimension::sizeGroupsSeparately(mesh, wish);
     double naive = 0;
     for (std::size_t g = 0; g < alone.size(); ++g) naive += alone[g] * mesh.groups[g].price;
     state.counters["price"] = advice.price / naive;
-    state.counters["met"] = advice.met;
+    state.counters["met"] = advice.targetMet;
   }
 }
 
--- a/src/command/dimension.cpp
+++ b/src/command/dimension.cpp
@@ -33,7 +33,7 @@
   dimension::Mesh& mesh = plan.mesh;
   mesh.places = static_cast<int>(plan.fleet.places.size());
   mesh.loads = loads.erlangs;
-  mesh.mostInvites = plan.fleet.data.maxInvites;
+  mesh.maxInvites = plan.fleet.data.maxInvites;
   for (const OfferedService& offer : plan.fleet.offeredServices) mesh.widths.push_back(offer.width);
   const auto zone = [&](int place) {
     return static_cast<std::size_t>(plan.fleet.zone(plan.fleet.places[static_cast<std::size_t>(place)].zone));
@@ -53,7 +53,7 @@
   }
   for (int other = 0; other < plan.mesh.places; ++other) {
     for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-      plan.mesh.loads[plan.mesh.at(place, other, s)] = plan.mesh.loads[plan.mesh.at(other, place, s)] = 0;
+      plan.mesh.loads[plan.mesh.loadIndex(place, other, s)] = plan.mesh.loads[plan.mesh.loadIndex(other, place, s)] = 0;
     }
   }
 }
@@ -89,16 +89,17 @@
     for (std::size_t g = 0; g < plan.mesh.groups.size(); ++g) {
       const auto& group = plan.mesh.groups[g];
       json::object one{
-          {"a", name(group.a)}, {"b", name(group.b)}, {"circuits", group.circuits}, {"in_use", loss.use[g]}};
+          {"a", name(group.a)}, {"b", name(group.b)}, {"circuits", group.circuits}, {"in_use", loss.meanUse[g]}};
       if (before != nullptr) one["before"] = (*before)[g];
       if (why != nullptr) one["why"] = (*why)[g];
       groups.push_back(std::move(one));
     }
     for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-      services.push_back(json::object{
-          {"service", fleet.offeredServices[s].name}, {"lost", loss.service[s]}, {"worst_pair", loss.worst[s]}});
+      services.push_back(json::object{{"service", fleet.offeredServices[s].name},
+                                      {"lost", loss.serviceLoss[s]},
+                                      {"worst_pair", loss.worstPairLoss[s]}});
     }
-    std::cout << json::serialize(json::object{{"services", services}, {"groups", groups}, {"settled", loss.settled}})
+    std::cout << json::serialize(json::object{{"services", services}, {"groups", groups}, {"settled", loss.converged}})
               << '\n';
     return;
   }
@@ -113,19 +114,19 @@
     const std::string old = before != nullptr ? std::to_string((*before)[g]) : "";
     if (wanted.csv) {
       std::cout << name(group.a) << ',' << name(group.b) << ',' << old << ',' << group.circuits << ','
-                << std::setprecision(2) << loss.use[g] << ",\"" << (why != nullptr ? (*why)[g] : "") << "\"\n";
+                << std::setprecision(2) << loss.meanUse[g] << ",\"" << (why != nullptr ? (*why)[g] : "") << "\"\n";
     } else {
       std::cout << std::left << std::setw(14) << name(group.a) << std::setw(14) << name(group.b) << std::right
                 << std::setw(8) << old << std::setw(10) << group.circuits << std::setw(9) << std::setprecision(2)
-                << loss.use[g] << (why != nullptr ? "  " + (*why)[g] : "") << '\n';
+                << loss.meanUse[g] << (why != nullptr ? "  " + (*why)[g] : "") << '\n';
     }
   }
   if (wanted.csv) return;
   for (std::size_t s = 0; s < plan.mesh.services(); ++s) {
-    std::cout << fleet.offeredServices[s].name << ": lost " << std::setprecision(4) << loss.service[s]
-              << ", worst pair " << loss.worst[s] << '\n';
+    std::cout << fleet.offeredServices[s].name << ": lost " << std::setprecision(4) << loss.serviceLoss[s]
+              << ", worst pair " << loss.worstPairLoss[s] << '\n';
   }
-  if (!loss.settled)
+  if (!loss.converged)
     std::cout << "the rounds did not settle: overflow feeds on itself here, take the losses for too low\n";
 }
 
@@ -187,10 +188,10 @@
   advise->callback([=, &status] {
     guarded("advise", [&] {
       Plan plan = open(*of);
-      dimension::Wish wish;
+      dimension::DimensioningTarget wish;
       wish.loss = lossesWished(of->losses, plan.fleet);
-      wish.pair = of->pair;
-      wish.module = of->module;
+      wish.pairFactor = of->pair;
+      wish.moduleSize = of->module;
       const dimension::Advice advice = dimension::advise(plan.mesh, wish);
       std::vector<int> before;
       double priceBefore = 0;
@@ -200,12 +201,12 @@
         priceBefore += group.price * group.circuits;
         group.circuits = plan.fleet.groups[g].circuits = advice.circuits[g];
       }
-      tell(plan, advice.expected, *of, &before, &advice.why);
+      tell(plan, advice.expected, *of, &before, &advice.explanations);
       if (!of->csv && !of->json) {
         std::cout << "price " << std::setprecision(0) << advice.price << ", before " << priceBefore << "; "
-                  << advice.tried << " meshes worked out\n";
+                  << advice.meshesEvaluated << " meshes worked out\n";
       }
-      if (!advice.met) {
+      if (!advice.targetMet) {
         std::cerr << "thistlefold dimension advise: what is wished is not met: some pair has no way that more circuits "
                      "would help\n";
         status = 1;
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -24,16 +24,16 @@
 
 namespace json = boost::json;
 
-using pages::Line;
-using pages::wordOf;
+using pages::stringField;
+using pages::UsageRow;
 
 /// From zone, to zone, service, part.
-using Account = std::map<std::tuple<std::string, std::string, std::string, std::string>, Line>;
+using Account = std::map<std::tuple<std::string, std::string, std::string, std::string>, UsageRow>;
 
 void add(Account& account, const json::value& office) {
-  pages::eachCell(office, [&](const json::value& cell) {
-    account[{wordOf(cell, "from"), wordOf(cell, "to"), wordOf(cell, "service"), wordOf(cell, "part")}] +=
-        pages::lineOf(cell);
+  pages::forEachCell(office, [&](const json::value& cell) {
+    account[{stringField(cell, "from"), stringField(cell, "to"), stringField(cell, "service"),
+             stringField(cell, "part")}] += pages::parseUsageRow(cell);
   });
 }
 
@@ -49,14 +49,14 @@
   for (const char* head : {"invites", "stood", "cut", "refused", "held"}) std::cout << std::setw(9) << head;
   std::cout << std::setw(20) << "circuit-seconds" << '\n';
   const auto row = [](const std::string& from, const std::string& to, const std::string& service,
-                      const std::string& part, const Line& line) {
+                      const std::string& part, const UsageRow& line) {
     std::cout << std::left << std::setw(14) << from << std::setw(14) << to << std::setw(16) << service << std::setw(8)
-              << part << std::right << std::setw(9) << line.invites << std::setw(9) << line.stood << std::setw(9)
-              << line.cut << std::setw(9) << line.refused << std::setw(9) << line.held << std::setw(20)
+              << part << std::right << std::setw(9) << line.invites << std::setw(9) << line.established << std::setw(9)
+              << line.dropped << std::setw(9) << line.refused << std::setw(9) << line.held << std::setw(20)
               << seconds(line.circuitMicroseconds) << '\n';
   };
-  std::map<std::string, Line> services;
-  Line all;
+  std::map<std::string, UsageRow> services;
+  UsageRow all;
   for (const auto& [key, line] : account) {
     const auto& [from, to, service, part] = key;
     row(from, to, service, part, line);
@@ -71,9 +71,9 @@
   std::cout << "from,to,service,part,invites,stood,cut,refused,held,circuit_seconds\n";
   for (const auto& [key, line] : account) {
     const auto& [from, to, service, part] = key;
-    std::cout << from << ',' << to << ',' << service << ',' << part << ',' << line.invites << ',' << line.stood << ','
-              << line.cut << ',' << line.refused << ',' << line.held << ',' << seconds(line.circuitMicroseconds)
-              << '\n';
+    std::cout << from << ',' << to << ',' << service << ',' << part << ',' << line.invites << ',' << line.established
+              << ',' << line.dropped << ',' << line.refused << ',' << line.held << ','
+              << seconds(line.circuitMicroseconds) << '\n';
   }
 }
 
@@ -86,8 +86,8 @@
                                  {"service", service},
                                  {"part", part},
                                  {"invites", line.invites},
-                                 {"stood", line.stood},
-                                 {"cut", line.cut},
+                                 {"stood", line.established},
+                                 {"cut", line.dropped},
                                  {"refused", line.refused},
                                  {"held", line.held},
                                  {"circuit_us", line.circuitMicroseconds}});
@@ -131,7 +131,7 @@
     told.offices.push_back(asked(office, "thistlefold zones 1\n"));
     if (level.empty()) continue;
     std::set<std::string> zones;
-    for (const json::value& cell : told.offices.back().at("cells").as_array()) zones.insert(wordOf(cell, "to"));
+    for (const json::value& cell : told.offices.back().at("cells").as_array()) zones.insert(stringField(cell, "to"));
     for (const std::string& zone : zones) {
       told.series.push_back(asked(office, "thistlefold series 1 " + level + " " + zone + "\n"));
     }
@@ -141,15 +141,15 @@
 
 /// What crossed by span of time, newest last.
 void series(const std::vector<json::value>& told, bool csv) {
-  std::map<std::tuple<std::int64_t, std::string, std::string, std::string>, Line> lines;
+  std::map<std::tuple<std::int64_t, std::string, std::string, std::string>, UsageRow> lines;
   double span = 1;
   bool whole = true;
   for (const json::value& one : told) {
     span = one.at("span_ms").to_number<double>() / 1000;
     whole = whole && one.at("whole").as_bool();
     for (const json::value& bucket : one.at("buckets").as_array()) {
-      lines[{-bucket.at("ago").to_number<std::int64_t>(), wordOf(one, "from"), wordOf(one, "to"),
-             wordOf(bucket, "service")}] += pages::lineOf(bucket);
+      lines[{-bucket.at("ago").to_number<std::int64_t>(), stringField(one, "from"), stringField(one, "to"),
+             stringField(bucket, "service")}] += pages::parseUsageRow(bucket);
     }
   }
   if (csv) std::cout << "ago_seconds,from,to,service,invites,stood,cut,refused,circuit_seconds\n";
@@ -164,12 +164,12 @@
     const auto& [ago, from, to, service] = key;
     const auto past = static_cast<std::int64_t>(-static_cast<double>(ago) * span);
     if (csv) {
-      std::cout << past << ',' << from << ',' << to << ',' << service << ',' << line.invites << ',' << line.stood << ','
-                << line.cut << ',' << line.refused << ',' << seconds(line.circuitMicroseconds) << '\n';
+      std::cout << past << ',' << from << ',' << to << ',' << service << ',' << line.invites << ',' << line.established
+                << ',' << line.dropped << ',' << line.refused << ',' << seconds(line.circuitMicroseconds) << '\n';
     } else {
       std::cout << std::right << std::setw(8) << past << "s  " << std::left << std::setw(14) << from << std::setw(14)
                 << to << std::setw(16) << service << std::right << std::setw(9) << line.invites << std::setw(9)
-                << line.stood << std::setw(9) << line.cut << std::setw(9) << line.refused << std::setw(18)
+                << line.established << std::setw(9) << line.dropped << std::setw(9) << line.refused << std::setw(18)
                 << seconds(line.circuitMicroseconds) << '\n';
     }
   }
@@ -195,10 +195,10 @@
   for (const json::value& office : offices) {
     for (const json::value& one : office.at("budgets").as_array()) {
       const auto number = [&](const char* field) { return one.at(field).to_number<std::int64_t>(); };
-      const std::string from = wordOf(one, "from"), to = wordOf(one, "to");
+      const std::string from = stringField(one, "from"), to = stringField(one, "to");
       const std::array<std::int64_t, 7> numbers{number("whole"),    number("part"), number("owned"), number("lent"),
                                                 number("borrowed"), number("held"), number("over")};
-      row(from, to, wordOf(office, "office"), numbers, number("under_in_ms"));
+      row(from, to, stringField(office, "office"), numbers, number("under_in_ms"));
       if (one.as_object().contains("allowance")) {
         std::cout << "  " << one.at("used").to_number<double>() << " of " << one.at("allowance").to_number<double>()
                   << ", next in " << number("next_period_in_ms") / 1000 << " s";
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -202,7 +202,7 @@
         letBe = std::max(out, change.circuits);
         whole = change.circuits;
         most = 0;
-        obeyedFrom = budget.overrun == zones::Overrun::end ? change.at + kEndsWithin : Instant::never();
+        obeyedFrom = budget.overrun == zones::OverrunPolicy::end ? change.at + kEndsWithin : Instant::never();
       }
       out = now;
       if (at >= obeyedFrom && obeyedFrom != Instant::longAgo()) letBe = 0;
--- a/src/dimension/advice.cpp
+++ b/src/dimension/advice.cpp
@@ -27,12 +27,13 @@
   std::vector<Stream> streams;
   for (std::size_t s = 0; s < mesh.services(); ++s) {
     streams.push_back(
-        {mesh.loads[mesh.at(group.a, group.b, s)] + mesh.loads[mesh.at(group.b, group.a, s)], mesh.widths[s], 0});
+        {mesh.loads[mesh.loadIndex(group.a, group.b, s)] + mesh.loads[mesh.loadIndex(group.b, group.a, s)],
+         mesh.widths[s], 0});
   }
   return streams;
 }
 
-int leastFor(const std::vector<Stream>& streams, const std::vector<double>& loss, const Wish& wish) {
+int leastFor(const std::vector<Stream>& streams, const std::vector<double>& loss, const DimensioningTarget& wish) {
   double load = 0;
   for (const Stream& one : streams) load += one.load * one.width;
   if (load <= 0) return 0;
@@ -43,17 +44,17 @@
     }
     return true;
   };
-  int low = 0, high = wish.module;
+  int low = 0, high = wish.moduleSize;
   while (high < wish.mostCircuits && !enough(high)) {
     low = high;
     high = std::min(wish.mostCircuits, high * 2);
   }
-  while (high - low > wish.module) {
-    const int middle = low + (high - low) / 2 / wish.module * wish.module;
+  while (high - low > wish.moduleSize) {
+    const int middle = low + (high - low) / 2 / wish.moduleSize * wish.moduleSize;
     if (middle == low) break;
     (enough(middle) ? high : low) = middle;
   }
-  return std::min(wish.mostCircuits, wholeModules(high, wish.module));
+  return std::min(wish.mostCircuits, wholeModules(high, wish.moduleSize));
 }
 
 double priceOf(const Mesh& mesh) {
@@ -62,44 +63,44 @@
 }
 
 /// By how much what is lost is above what is wished, all told; 0 when it is met.
-double above(const Mesh& mesh, const MeshLoss& loss, const Wish& wish) {
+double above(const Mesh& mesh, const MeshLoss& loss, const DimensioningTarget& wish) {
   double sum = 0;
   for (std::size_t s = 0; s < mesh.services(); ++s) {
-    sum += std::max(0.0, loss.service[s] - wish.loss[s]) / wish.loss[s];
-    sum += std::max(0.0, loss.worst[s] - wish.pair * wish.loss[s]) / wish.loss[s];
+    sum += std::max(0.0, loss.serviceLoss[s] - wish.loss[s]) / wish.loss[s];
+    sum += std::max(0.0, loss.worstPairLoss[s] - wish.pairFactor * wish.loss[s]) / wish.loss[s];
   }
   return sum;
 }
 
 }  // namespace
 
-std::vector<int> perGroup(const Mesh& mesh, const Wish& wish) {
+std::vector<int> sizeGroupsSeparately(const Mesh& mesh, const DimensioningTarget& wish) {
   std::vector<int> circuits;
   for (const MeshGroup& group : mesh.groups) circuits.push_back(leastFor(direct(mesh, group), wish.loss, wish));
   return circuits;
 }
 
-Advice advise(const Mesh& given, const Wish& wish) {
+Advice advise(const Mesh& given, const DimensioningTarget& wish) {
   Mesh mesh = given;
   Advice advice;
   const int most = tries(mesh);
   const auto workOut = [&](const MeshLoss* start) {
-    ++advice.tried;
+    ++advice.meshesEvaluated;
     return meshLoss(mesh, start);
   };
   // Begin with what each group wants by itself and cut down from there: the tandems carry what overflows, so that most
   // groups can do with less.
-  const std::vector<int> alone = perGroup(mesh, wish);
+  const std::vector<int> alone = sizeGroupsSeparately(mesh, wish);
   for (std::size_t g = 0; g < mesh.groups.size(); ++g) mesh.groups[g].circuits = alone[g];
   MeshLoss loss = workOut(nullptr);
   // Where that is not enough (pairs without a group, whose sessions all go over tandems): to groups on their ways.
-  while (above(mesh, loss, wish) > 0 && advice.tried < most / 2) {
+  while (above(mesh, loss, wish) > 0 && advice.meshesEvaluated < most / 2) {
     bool grown = false;
     for (int from = 0; from < mesh.places; ++from) {
       for (int to = 0; to < mesh.places; ++to) {
         bool bad = false;
         for (std::size_t s = 0; s < mesh.services() && from != to; ++s) {
-          const std::size_t at = mesh.at(from, to, s);
+          const std::size_t at = mesh.loadIndex(from, to, s);
           bad = bad || (mesh.loads[at] > 0 && loss.loss[at] > std::min(wish.loss[s], 1.0));
         }
         if (!bad) continue;
@@ -124,7 +125,7 @@
         }
         for (MeshGroup* one : ways) {
           // A tenth at a time, so that many pairs that share a leg do not each add a module to it.
-          const int more = wholeModules(std::max(1.0, 0.1 * one->circuits), wish.module);
+          const int more = wholeModules(std::max(1.0, 0.1 * one->circuits), wish.moduleSize);
           if (one->circuits + more > wish.mostCircuits) continue;
           one->circuits += more;
           grown = true;
@@ -134,24 +135,24 @@
     if (!grown) break;
     loss = workOut(&loss);
   }
-  advice.met = above(mesh, loss, wish) <= 0;
+  advice.targetMet = above(mesh, loss, wish) <= 0;
   // Cut down, in steps that halve, from all groups at once and, where that is too much, from each half of them, dearest
   // first.
-  if (advice.met) {
+  if (advice.targetMet) {
     std::vector<std::size_t> order(mesh.groups.size());
     std::iota(order.begin(), order.end(), 0);
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t x, std::size_t y) { return mesh.groups[x].price > mesh.groups[y].price; });
     // A share of each group; at the end a single module.
-    for (double share = 0.25; advice.tried < most; share /= 2) {
+    for (double share = 0.25; advice.meshesEvaluated < most; share /= 2) {
       const auto stepOf = [&](int circuits) {
-        return std::max(1, static_cast<int>(share * circuits) / wish.module) * wish.module;
+        return std::max(1, static_cast<int>(share * circuits) / wish.moduleSize) * wish.moduleSize;
       };
       const bool single = std::all_of(mesh.groups.begin(), mesh.groups.end(),
-                                      [&](const MeshGroup& one) { return stepOf(one.circuits) == wish.module; });
+                                      [&](const MeshGroup& one) { return stepOf(one.circuits) == wish.moduleSize; });
       std::vector<std::vector<std::size_t>> batches{order};
       // Some tries of each step are for halves; the last step has all that are left.
-      for (int left = single ? most : 8; !batches.empty() && advice.tried < most && left > 0; --left) {
+      for (int left = single ? most : 8; !batches.empty() && advice.meshesEvaluated < most && left > 0; --left) {
         const std::vector<std::size_t> batch = std::move(batches.back());
         batches.pop_back();
         std::vector<std::size_t> cut;
@@ -166,7 +167,7 @@
         }
         if (cut.empty()) continue;
         const MeshLoss less = workOut(&loss);
-        if (above(mesh, less, wish) <= 0 && less.settled) {
+        if (above(mesh, less, wish) <= 0 && less.converged) {
           loss = less;
           batches.push_back(cut);
           continue;
@@ -181,7 +182,7 @@
     }
   }
   advice.expected = workOut(nullptr);
-  advice.met = advice.met && above(mesh, advice.expected, wish) <= 0;
+  advice.targetMet = advice.targetMet && above(mesh, advice.expected, wish) <= 0;
   advice.price = priceOf(mesh);
   for (std::size_t g = 0; g < mesh.groups.size(); ++g) {
     const MeshGroup& group = mesh.groups[g];
@@ -194,10 +195,10 @@
       why << (load > 0 ? "its " : "nothing is offered to it");
       if (load > 0) why << load << " erlangs go over tandems at less";
     } else {
-      why << load << " erlangs direct want " << alone[g] << " by themselves; " << std::max(0.0, advice.expected.use[g])
-          << " are in use, what overflows goes over tandems";
+      why << load << " erlangs direct want " << alone[g] << " by themselves; "
+          << std::max(0.0, advice.expected.meanUse[g]) << " are in use, what overflows goes over tandems";
     }
-    advice.why.push_back(why.str());
+    advice.explanations.push_back(why.str());
   }
   return advice;
 }
--- a/src/dimension/mesh.cpp
+++ b/src/dimension/mesh.cpp
@@ -38,7 +38,7 @@
       for (std::size_t i = 0; i < before.size(); ++i) moved = std::max(moved, std::abs(loss_[i] - before[i]));
       before = loss_;
       if (moved < kSettled) {
-        out.settled = true;
+        out.converged = true;
         break;
       }
     }
@@ -69,7 +69,7 @@
         if (from == to) continue;
         const int straight = group(from, to);
         for (std::size_t s = 0; s < services_; ++s) {
-          const std::size_t at = mesh_.at(from, to, s);
+          const std::size_t at = mesh_.loadIndex(from, to, s);
           const double load = mesh_.loads[at];
           if (load <= 0) continue;
           double left = 1;
@@ -85,7 +85,7 @@
               tandems.push_back({own, far, (1 - tandem_[slot(own, s)]) * (1 - tandem_[slot(far, s)])});
             }
             // The cheapest first: the one with the most room. One whose own leg is full costs no INVITE.
-            const auto tries = std::min(tandems.size(), static_cast<std::size_t>(mesh_.mostInvites));
+            const auto tries = std::min(tandems.size(), static_cast<std::size_t>(mesh_.maxInvites));
             std::partial_sort(tandems.begin(), tandems.begin() + static_cast<std::ptrdiff_t>(tries), tandems.end(),
                               [](const Tandem& x, const Tandem& y) { return x.free > y.free; });
             double rest = left;
@@ -135,21 +135,22 @@
   void tell(MeshLoss& out) const {
     out.loss = loss_;
     out.direct = direct_;
-    out.service.assign(services_, 0.0);
-    out.worst.assign(services_, 0.0);
+    out.serviceLoss.assign(services_, 0.0);
+    out.worstPairLoss.assign(services_, 0.0);
     std::vector<double> offered(services_, 0.0);
     for (std::size_t i = 0; i < loss_.size(); ++i) {
       const std::size_t s = i % services_;
       offered[s] += mesh_.loads[i];
-      out.service[s] += mesh_.loads[i] * loss_[i];
-      if (mesh_.loads[i] > 0) out.worst[s] = std::max(out.worst[s], loss_[i]);
+      out.serviceLoss[s] += mesh_.loads[i] * loss_[i];
+      if (mesh_.loads[i] > 0) out.worstPairLoss[s] = std::max(out.worstPairLoss[s], loss_[i]);
     }
-    for (std::size_t s = 0; s < services_; ++s) out.service[s] = offered[s] > 0 ? out.service[s] / offered[s] : 0;
-    out.use.assign(mesh_.groups.size(), 0.0);
+    for (std::size_t s = 0; s < services_; ++s)
+      out.serviceLoss[s] = offered[s] > 0 ? out.serviceLoss[s] / offered[s] : 0;
+    out.meanUse.assign(mesh_.groups.size(), 0.0);
     for (std::size_t g = 0; g < mesh_.groups.size(); ++g) {
       for (std::size_t s = 0; s < services_; ++s) {
         const std::size_t at = g * services_ + s;
-        out.use[g] += mesh_.widths[s] * (first_[at] * (1 - direct_[at]) + second_[at]);
+        out.meanUse[g] += mesh_.widths[s] * (first_[at] * (1 - direct_[at]) + second_[at]);
       }
     }
   }
--- a/src/dimension/mesh.hpp
+++ b/src/dimension/mesh.hpp
@@ -23,10 +23,10 @@
   std::vector<int> widths;        // by service
   std::vector<MeshGroup> groups;  // at most one a pair of places
   std::vector<double> loads;      // erlangs of sessions, [(from * places + to) * services + service]
-  int mostInvites = 6;
+  int maxInvites = 6;
 
   std::size_t services() const { return widths.size(); }
-  std::size_t at(int from, int to, std::size_t service) const {
+  std::size_t loadIndex(int from, int to, std::size_t service) const {
     return (static_cast<std::size_t>(from) * static_cast<std::size_t>(places) + static_cast<std::size_t>(to)) *
                services() +
            service;
@@ -34,13 +34,13 @@
 };
 
 struct MeshLoss {
-  std::vector<double> loss;     // by load, same index; 0 where nothing is offered
-  std::vector<double> service;  // of all that is offered, by service
-  std::vector<double> direct;   // by group and service: share that does not find the group free
-  std::vector<double> use;      // by group: circuits in use on average
-  std::vector<double> worst;    // by service: the pair that loses most
+  std::vector<double> loss;           // by load, same index; 0 where nothing is offered
+  std::vector<double> serviceLoss;    // of all that is offered, by service
+  std::vector<double> direct;         // by group and service: share that does not find the group free
+  std::vector<double> meanUse;        // by group: circuits in use on average
+  std::vector<double> worstPairLoss;  // by service: the pair that loses most
   int rounds = 0;
-  bool settled = false;  // else what is told is the last round's, and moved by more than 0.0001 yet
+  bool converged = false;  // else what is told is the last round's, and moved by more than 0.0001 yet
 };
 
 /// `start`: an earlier answer for nearly the same mesh, to begin from; may be null.
--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -98,7 +98,7 @@
     budget.to = 1;
     budget.circuits = budget_;
     budget.classes = day_.classes;
-    budget.dividing = day_.way == Way::lent ? zones::Dividing::lent : zones::Dividing::equal;
+    budget.division = day_.way == Way::lent ? zones::Division::lending : zones::Division::equal;
     budget.overrun = day_.overrun;
     return budget;
   }
@@ -109,8 +109,8 @@
     one.life = ++lives_;
     one.pool = std::make_unique<LeasedBudget>(day_.kinds, i, mates_, 1, clock(one), day_.spans);
     if (day_.way != Way::chance) {
-      one.pool->set(clock(one), budget());
-      one.pool->wait(clock(one));
+      one.pool->setBudget(clock(one), budget());
+      one.pool->beginStartupWait(clock(one));
     }
     turn(i);
     if (day_.way == Way::chance) at(Span::ms(1000 * lot()), [this, i, life = one.life] { tellHeld(i, life); });
@@ -121,12 +121,12 @@
   void turn(int i) {
     Office& one = office(i);
     if (!one.alive || one.frozen) return;
-    for (auto& [to, word] : one.pool->speak(clock(one))) {
+    for (auto& [to, word] : one.pool->process(clock(one))) {
       ++result_.words;
       carry(i, to, word);
     }
     endWhatMust(i);
-    const Instant due = one.pool->nextDue();
+    const Instant due = one.pool->nextDeadline();
     if (due >= Instant::never()) return;
     const double wait = std::max(0.05, (due - clock(one)).ms() / one.clockRate);
     const Instant when = now_ + Span::ms(wait);
@@ -158,7 +158,7 @@
       if (one.waiting.size() < 1000) one.waiting.push_back(word);
       return;
     }
-    one.pool->hear(clock(one), word);
+    one.pool->receive(clock(one), word);
     turn(to);
   }
 
@@ -216,7 +216,7 @@
     if (!admits(one, s)) {
       ++result_.refused;
       ++result_.refusedBy[s];
-      one.pool->refused(clock(one), s);
+      one.pool->recordRefusal(clock(one), s);
       const int room = budget_ - out();
       if (getenv("TRACE") && now_ > Instant::ms(30000)) {
         printf("%.1f refused at %d width %d room %d:", (now_ - Instant()).ms() / 1000, i, day_.kinds[s].width, room);
@@ -238,7 +238,7 @@
       return;
     }
     one.refusingSince = Instant::never();
-    one.pool->take(clock(one), s);
+    one.pool->seize(clock(one), s);
     one.standing.push_back({s, ++sessions_, now_});
     at(Span::ms(exponential(day_.kinds[s].meanHold.ms())),
        [this, i, id = sessions_, life = one.life] { end(i, id, life); });
@@ -262,9 +262,9 @@
 
   void endWhatMust(int i) {
     Office& one = office(i);
-    std::vector<zones::Standing> standing;
+    std::vector<zones::EstablishedSession> standing;
     for (const Session& session : one.standing) standing.push_back({session.service, session.since});
-    auto ending = zones::whoMakesWay(day_.kinds, standing, one.pool->mustEnd(clock(one)));
+    auto ending = zones::selectSessionsToEnd(day_.kinds, standing, one.pool->circuitsToEnd(clock(one)));
     std::sort(ending.rbegin(), ending.rend());
     for (const std::size_t which : ending) {
       one.pool->release(clock(one), one.standing[which].service);
@@ -296,7 +296,7 @@
           at(one.lasts, [this, i] {
             Office& woken = office(i);
             woken.frozen = false;
-            for (const LeaseMessage& word : std::exchange(woken.waiting, {})) woken.pool->hear(clock(woken), word);
+            for (const LeaseMessage& word : std::exchange(woken.waiting, {})) woken.pool->receive(clock(woken), word);
             turn(i);
           });
         }
@@ -314,8 +314,8 @@
           at(one.lasts * (static_cast<double>(i) / day_.offices), [this, i] {
             Office& told = office(i);
             if (day_.way == Way::chance || !told.alive) return;
-            told.pool->set(clock(told), budget());
-            told.loweredOver = told.pool->part().over();
+            told.pool->setBudget(clock(told), budget());
+            told.loweredOver = told.pool->part().excess();
             turn(i);
           });
         }
@@ -344,7 +344,7 @@
     // what offices let in that do not know of it yet.
     int letBe = now_ <= settling_ ? over : 0, lent = 0;
     for (Office& one : offices_) {
-      one.loweredOver = std::min(one.loweredOver, one.pool->part().over());
+      one.loweredOver = std::min(one.loweredOver, one.pool->part().excess());
       letBe += one.loweredOver;
       lent += one.pool->lent();
       if (lowered_) letBe += std::max(0, one.pool->lent() - one.pool->owned());
--- a/src/model/zone_model.hpp
+++ b/src/model/zone_model.hpp
@@ -29,8 +29,8 @@
   int offices = 6;
   int circuits = 48;
   Way way = Way::lent;
-  zones::Overrun overrun = zones::Overrun::stand;
-  std::vector<zones::Kind> kinds{{1, 1, Span::ms(10000)}, {4, 0.5, Span::ms(10000)}};
+  zones::OverrunPolicy overrun = zones::OverrunPolicy::keep;
+  std::vector<zones::ServiceProfile> kinds{{1, 1, Span::ms(10000)}, {4, 0.5, Span::ms(10000)}};
   std::vector<double> shares{0.9, 0.1};    // of the sessions, by service
   std::vector<zones::ClassShare> classes;  // of the budget
   double load = 0.8;                       // offered circuits over the budget's
@@ -42,7 +42,7 @@
   double drift = 0;  // clocks run apart by up to this share, and begin anywhere
   std::uint64_t seed = 1;
   std::vector<ZoneTrouble> faults;
-  zones::LeaseSpans spans;
+  zones::LeaseTiming spans;
 };
 
 struct ZoneResult {
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -108,9 +108,9 @@
   Instant openedAt;
   zones::UsageCell* cell = nullptr;  // of the account, where the leg goes out and crosses zones
   std::size_t service = 0;
-  std::string user;                    // of a leg that goes out across zones
-  std::optional<zones::Key> mirrored;  // a leg that came in across zones
-  std::uint64_t mark = 0;              // of the office that sent it
+  std::string user;                         // of a leg that goes out across zones
+  std::optional<zones::UsageKey> mirrored;  // a leg that came in across zones
+  std::uint64_t mark = 0;                   // of the office that sent it
   std::list<Leg>::iterator self;
 };
 
@@ -148,7 +148,7 @@
     zoneOf_.push_back(static_cast<int>(known - zoneNames_.begin()));
     if (known == zoneNames_.end()) zoneNames_.push_back(place.zone);
   }
-  std::vector<zones::Kind> kinds;
+  std::vector<zones::ServiceProfile> kinds;
   for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
     const Service& service = fleet.data.services[i];
     const double circuitSeconds = fleet.offeredServices[i].width * std::max(1.0, service.meanHold.ms()) / 1000;
@@ -180,7 +180,7 @@
   }
   users_.assign(zoneNames_.size(), zones::TopUsers(kUsers));
   setBudgets(fleet.budgets);
-  for (const auto& pool : pools_) pool->wait(now);
+  for (const auto& pool : pools_) pool->beginStartupWait(now);
 }
 
 Office::~Office() = default;
@@ -205,7 +205,7 @@
         word && word->from == peer.place && word->zone >= 0 && static_cast<std::size_t>(word->zone) < pools_.size() &&
         zoneOf_[static_cast<std::size_t>(peer.place)] == zoneOf_[static_cast<std::size_t>(setting_.place)];
     if (taken) {
-      pools_[static_cast<std::size_t>(word->zone)]->hear(now, *word);
+      pools_[static_cast<std::size_t>(word->zone)]->receive(now, *word);
     } else {
       ++counters_.unreadable;
     }
@@ -263,7 +263,7 @@
   }
   const int width = *e.width;
   const std::uint64_t mark = *e.started;
-  std::optional<zones::Key> mirrored;
+  std::optional<zones::UsageKey> mirrored;
   if (const int there = zoneOf_[static_cast<std::size_t>(peer.place)],
       here = zoneOf_[static_cast<std::size_t>(setting_.place)];
       there != here) {
@@ -272,8 +272,8 @@
     const zones::LegKind way = !own                           ? zones::LegKind::second
                                : *e.towards == setting_.place ? zones::LegKind::direct
                                                               : zones::LegKind::first;
-    mirrored = zones::Key{there, here, service, way};
-    ++peerUsage_.of(peer.place, mark, *mirrored).invites;
+    mirrored = zones::UsageKey{there, here, service, way};
+    ++peerUsage_.totalsFor(peer.place, mark, *mirrored).invites;
   }
   if (!peer.trunk.admit(width)) {
     ++counters_.noCircuit;
@@ -458,11 +458,11 @@
     if (!held.acceptedIn) endpoint_.send(now_, *held.in->call, iax2::Iax::ACCEPT, withRoom(&held));
     held.acceptedIn = true;
     endpoint_.send(now_, *held.in->call, iax2::Control::answer);
-    if (held.in->mirrored) ++peerUsage_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).stood;
+    if (held.in->mirrored) ++peerUsage_.totalsFor(held.in->peer->place, held.in->mark, *held.in->mirrored).established;
   }
   if (held.kind == Held::Kind::terminating) return;
   held.cell = held.out->cell;
-  if (held.cell != nullptr) held.cell->stood(now_);
+  if (held.cell != nullptr) held.cell->established(now_);
   if (held.kind == Held::Kind::dialled) ++counters_.stood;
   tell(OfficeEvent::What::stood, &held, held.at, "");
   Event accepted(Event::Kind::accepted, &held);
@@ -509,9 +509,9 @@
 void Office::over(Held& held, bool cut, const Leg* by) {
   held.state = Held::State::over;
   --standing_;
-  if (cut && held.cell != nullptr) held.cell->cut(now_);
+  if (cut && held.cell != nullptr) held.cell->dropped(now_);
   if (cut && held.in != nullptr && held.in->mirrored) {
-    ++peerUsage_.of(held.in->peer->place, held.in->mark, *held.in->mirrored).cut;
+    ++peerUsage_.totalsFor(held.in->peer->place, held.in->mark, *held.in->mirrored).dropped;
   }
   if (cut && held.kind == Held::Kind::dialled) ++counters_.cut;
   for (Leg* leg : {held.in, held.out}) {
@@ -594,7 +594,7 @@
     if (leg.inDoubt) leg.peer->trunk.answered(leg.circuits);
     leg.peer->trunk.release(leg.circuits);
     if (leg.mirrored) {
-      peerUsage_.of(leg.peer->place, leg.mark, *leg.mirrored).circuitMicroseconds +=
+      peerUsage_.totalsFor(leg.peer->place, leg.mark, *leg.mirrored).circuitMicroseconds +=
           static_cast<std::uint64_t>(std::max(0.0, (now_ - leg.openedAt).ms()) * 1000) *
           static_cast<std::uint64_t>(leg.circuits);
     }
@@ -680,8 +680,8 @@
 std::pair<int, int> Office::shown(const Peer& peer) {
   const int free = peer.trunk.free(), size = peer.trunk.size();
   const zones::LeasedBudget* pool = poolOf(peer);
-  if (pool == nullptr || !pool->bounded()) return {free, size};
-  return {std::min(free, pool->part().left()), std::min(size, pool->part().circuits())};
+  if (pool == nullptr || !pool->isBounded()) return {free, size};
+  return {std::min(free, pool->part().free()), std::min(size, pool->part().circuits())};
 }
 
 void Office::told(Peer& peer, Controller& controller) {
@@ -701,7 +701,7 @@
 /// All groups that share a budget are shown anew, where it makes a difference: while the budget is the wider of the two
 /// it makes none, and telling the module of every group at every session cost half as much as the session.
 void Office::budgetChanged(const zones::LeasedBudget& pool) {
-  if (!pool.bounded()) return;
+  if (!pool.isBounded()) return;
   for (const auto& peer : peers_) {
     if (peer->own || poolOf(*peer) != &pool) continue;
     if (shown(*peer) != std::pair(peer->shownFree, peer->shownSize)) changed(*peer);
@@ -725,7 +725,7 @@
       if (budgetChanges_.size() == kBudgetChanges) budgetChanges_.erase(budgetChanges_.begin());
       budgetChanges_.push_back({now_, static_cast<int>(zone), circuits});
     }
-    pools_[zone]->set(now_, one == budgets.end() ? std::nullopt : std::optional(*one));
+    pools_[zone]->setBudget(now_, one == budgets.end() ? std::nullopt : std::optional(*one));
   }
   for (const auto& peer : peers_) {
     if (!peer->own && poolOf(*peer) != nullptr) changed(*peer);
@@ -735,11 +735,11 @@
 /// What budgets have to say and to do: words to offices of the zone, sessions that are to make way.
 void Office::tendPools() {
   for (const auto& pool : pools_) {
-    for (const auto& [place, word] : pool->speak(now_)) {
+    for (const auto& [place, word] : pool->process(now_)) {
       texts_.emplace_back(peers_[static_cast<std::size_t>(place)]->site.office, zones::encode(word));
     }
-    if (const int circuits = pool->mustEnd(now_); circuits > 0) endCheapest(*pool, circuits);
-    if (pool->changed()) budgetChanged(*pool);
+    if (const int circuits = pool->circuitsToEnd(now_); circuits > 0) endCheapest(*pool, circuits);
+    if (pool->consumeBoundsChanged()) budgetChanged(*pool);
   }
 }
 
@@ -747,7 +747,7 @@
 /// already is not ended again.
 void Office::endCheapest(const zones::LeasedBudget& pool, int circuits) {
   std::vector<Leg*> legs;
-  std::vector<zones::Standing> standing;
+  std::vector<zones::EstablishedSession> standing;
   for (Leg& leg : legs_) {
     if (leg.cell == nullptr || poolOf(*leg.peer) != &pool) continue;
     if (leg.held == nullptr) {
@@ -757,7 +757,7 @@
       standing.push_back({leg.service, leg.openedAt});
     }
   }
-  for (const std::size_t i : zones::whoMakesWay(pool.part().kinds(), standing, circuits)) cutLeg(*legs[i]);
+  for (const std::size_t i : zones::selectSessionsToEnd(pool.part().services(), standing, circuits)) cutLeg(*legs[i]);
 }
 
 void Office::invite(const Session& session, const Exchange& to, Span giveUpAfter) {
@@ -774,7 +774,7 @@
   if (pool != nullptr && !pool->admits(now_, held.offer)) {
     // No circuit for this service: the module looks for another way, as with any leg without one.
     cellOf(held, peer)->refused(now_);
-    pool->refused(now_, held.offer);
+    pool->recordRefusal(now_, held.offer);
     // All ways that the same budget bounds: each that is tried in vain costs the session one of its INVITEs.
     for (const auto& one : peers_) {
       if (one->own || poolOf(*one) != pool) continue;
@@ -801,7 +801,7 @@
     held.out->service = held.offer;
     held.out->user = held.calling.empty() ? "unknown" : held.calling;
     cell->invited(now_, width);
-    pool->take(now_, held.offer);
+    pool->seize(now_, held.offer);
     budgetChanged(*pool);
   }
   due(held, now_ + giveUpAfter);
@@ -842,7 +842,7 @@
   if (held.destination != nullptr && held.lastReason != BlockingReason::lineBusy) {
     if (zones::LeasedBudget* pool = poolOf(static_cast<const Peer&>(*held.destination));
         pool != nullptr && !pool->admits(now_, held.offer)) {
-      pool->refused(now_, held.offer);
+      pool->recordRefusal(now_, held.offer);
     }
   }
   tell(OfficeEvent::What::refused, &held, held.at,
@@ -915,7 +915,7 @@
   Instant next = std::min(endpoint_.nextDue(), pokeAt_);
   if (!stopping_) {
     next = std::min(next, wakeAt_);
-    for (const auto& pool : pools_) next = std::min(next, pool->nextDue());
+    for (const auto& pool : pools_) next = std::min(next, pool->nextDeadline());
   }
   if (!giveUps_.empty()) next = std::min(next, (*giveUps_.begin())->giveUpAt);
   if (askedAt_ != Instant::never()) next = std::min(next, askedAt_ + kListWithin + Span::ms(1));
@@ -992,7 +992,7 @@
   if (peer->silent) tell(OfficeEvent::What::peerBack, nullptr, peer, "");
   peer->silent = false;
   const std::uint64_t mark = *frame.elements.started;
-  if (peer != own_) peerUsage_.started(peer->place, mark);
+  if (peer != own_) peerUsage_.recordIncarnation(peer->place, mark);
   if (peer->mark != 0 && mark != peer->mark) lose(*peer, true);
   peer->mark = mark;
   peer->aliveAt = aliveAt;
--- a/src/office/zones_report.cpp
+++ b/src/office/zones_report.cpp
@@ -27,17 +27,17 @@
 }  // namespace
 
 std::string Office::zonesReport(Instant now) {
-  ledger_.settle(now);
+  ledger_.accrue(now);
   std::ostringstream out;
   bool first = true;
-  const auto cell = [&](const zones::Key& key, const zones::UsageTotals& sums, int held) {
+  const auto cell = [&](const zones::UsageKey& key, const zones::UsageTotals& sums, int held) {
     static constexpr const char* kParts[] = {"direct", "first", "second"};
     out << (std::exchange(first, false) ? "" : ",") << "{\"from\":\"" << zoneNames_[static_cast<std::size_t>(key.from)]
         << "\",\"to\":\"" << zoneNames_[static_cast<std::size_t>(key.to)] << "\",\"service\":\""
         << fleet_.offeredServices[static_cast<std::size_t>(key.service)].name << "\",\"part\":\""
-        << kParts[static_cast<std::size_t>(key.way)] << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
-        << ",\"cut\":" << sums.cut << ",\"refused\":" << sums.refused << ",\"held\":" << held
-        << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
+        << kParts[static_cast<std::size_t>(key.legKind)] << "\",\"invites\":" << sums.invites
+        << ",\"stood\":" << sums.established << ",\"cut\":" << sums.dropped << ",\"refused\":" << sums.refused
+        << ",\"held\":" << held << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
   };
   out << "{\"office\":\"" << fleet_.places[static_cast<std::size_t>(setting_.place)].name << "\",\"cells\":[";
   for (const auto& [key, one] : ledger_.cells()) cell(key, one->total(), one->held());
@@ -49,20 +49,20 @@
   const auto& here = zoneNames_[static_cast<std::size_t>(zoneOf_[static_cast<std::size_t>(setting_.place)])];
   for (std::size_t zone = 0; zone < pools_.size(); ++zone) {
     zones::LeasedBudget& pool = *pools_[zone];
-    if (!pool.bounded()) continue;
+    if (!pool.isBounded()) continue;
     const zones::Budget& budget = *pool.budget();
-    const zones::Part& part = pool.part();
+    const zones::BudgetPart& part = pool.part();
     out << (std::exchange(first, false) ? "" : ",") << "{\"from\":\"" << here << "\",\"to\":\"" << zoneNames_[zone]
         << "\",\"whole\":" << budget.circuits << ",\"dividing\":\""
-        << (budget.dividing == zones::Dividing::lent ? "lent" : "equal") << "\",\"overrun\":\""
-        << (budget.overrun == zones::Overrun::end ? "end" : "stand") << "\",\"part\":" << part.circuits()
+        << (budget.division == zones::Division::lending ? "lent" : "equal") << "\",\"overrun\":\""
+        << (budget.overrun == zones::OverrunPolicy::end ? "end" : "stand") << "\",\"part\":" << part.circuits()
         << ",\"owned\":" << pool.owned() << ",\"lent\":" << pool.lent() << ",\"borrowed\":" << pool.borrowed(now)
-        << ",\"written_off\":" << pool.writtenOff() << ",\"waiting\":" << (pool.waiting() ? "true" : "false")
-        << ",\"held\":" << part.held() << ",\"over\":" << part.over()
-        << ",\"under_in_ms\":" << static_cast<std::int64_t>(part.underIn().ms());
-    if (zones::Allowance& allowance = pool.allowance(); allowance.bounded()) {
-      out << ",\"allowance\":" << allowance.whole() << ",\"used\":" << allowance.used(now)
-          << ",\"next_period_in_ms\":" << static_cast<std::int64_t>(allowance.untilNext(now).ms());
+        << ",\"written_off\":" << pool.writtenOff() << ",\"waiting\":" << (pool.inStartupWait() ? "true" : "false")
+        << ",\"held\":" << part.held() << ",\"over\":" << part.excess()
+        << ",\"under_in_ms\":" << static_cast<std::int64_t>(part.timeUntilWithinBounds().ms());
+    if (zones::Allowance& allowance = pool.allowance(); allowance.isBounded()) {
+      out << ",\"allowance\":" << allowance.limit() << ",\"used\":" << allowance.used(now)
+          << ",\"next_period_in_ms\":" << static_cast<std::int64_t>(allowance.untilNextPeriod(now).ms());
     }
     out << ",\"classes\":[";
     for (std::size_t i = 0; i < fleet_.offeredServices.size(); ++i) {
@@ -84,8 +84,8 @@
   for (std::size_t zone = 0; zone < users_.size(); ++zone) {
     for (const zones::TopUsers::User& user : users_[zone].top(kUsersTold)) {
       out << (std::exchange(first, false) ? "" : ",") << "{\"to\":\"" << zoneNames_[zone]
-          << "\",\"user\":" << quoted(user.name) << ",\"circuit_ms\":" << user.sum << ",\"slack_ms\":" << user.slack
-          << '}';
+          << "\",\"user\":" << quoted(user.name) << ",\"circuit_ms\":" << user.sum
+          << ",\"slack_ms\":" << user.maxOverestimate << '}';
     }
   }
   out << "]}";
@@ -93,12 +93,12 @@
 }
 
 std::string Office::seriesReport(Instant now, std::string_view level, std::size_t zone) {
-  ledger_.settle(now);
+  ledger_.accrue(now);
   const std::uint64_t span = level == "second" ? 1000 : level == "minute" ? 60000 : 3600000;
   const auto newest = static_cast<std::uint64_t>(std::max(0.0, (now - Instant()).ms())) / span;
-  const std::size_t room = level == "second"   ? zones::Ring<300>::room()
-                           : level == "minute" ? zones::Ring<240>::room()
-                                               : zones::Ring<192>::room();
+  const std::size_t room = level == "second"   ? zones::Ring<300>::capacity()
+                           : level == "minute" ? zones::Ring<240>::capacity()
+                                               : zones::Ring<192>::capacity();
   std::ostringstream out;
   out << "{\"office\":\"" << fleet_.places[static_cast<std::size_t>(setting_.place)].name << "\",\"from\":\""
       << zoneNames_[static_cast<std::size_t>(zoneOf_[static_cast<std::size_t>(setting_.place)])] << "\",\"to\":\""
@@ -117,8 +117,8 @@
       }
       if (sums == zones::UsageTotals()) continue;
       out << (std::exchange(first, false) ? "" : ",") << "{\"ago\":" << ago << ",\"service\":\""
-          << fleet_.offeredServices[service].name << "\",\"invites\":" << sums.invites << ",\"stood\":" << sums.stood
-          << ",\"cut\":" << sums.cut << ",\"refused\":" << sums.refused
+          << fleet_.offeredServices[service].name << "\",\"invites\":" << sums.invites
+          << ",\"stood\":" << sums.established << ",\"cut\":" << sums.dropped << ",\"refused\":" << sums.refused
           << ",\"circuit_us\":" << sums.circuitMicroseconds << '}';
     }
     whole = static_cast<std::size_t>(out.tellp()) < kLongestAnswer;
--- a/src/pages/plot.cpp
+++ b/src/pages/plot.cpp
@@ -22,7 +22,7 @@
 std::string plot(const std::string& script, int width, int height) {
   char path[] = "/tmp/thistlefold-plot-XXXXXX";
   const int file = ::mkstemp(path);
-  if (file < 0) throw NoPlot("no file for a plot's script can be made in /tmp");
+  if (file < 0) throw PlotError("no file for a plot's script can be made in /tmp");
   const std::string whole = "set terminal svg noenhanced size " + std::to_string(width) + "," + std::to_string(height) +
                             " font 'sans,11' background rgb 'white'\n" + script + "\n";
   const bool written = ::write(file, whole.data(), whole.size()) == static_cast<ssize_t>(whole.size());
@@ -37,9 +37,9 @@
     }
   }
   ::unlink(path);
-  if (status == 0x7f00) throw NoPlot("gnuplot is not installed; it draws the plots");
+  if (status == 0x7f00) throw PlotError("gnuplot is not installed; it draws the plots");
   const auto begin = svg.find("<svg");
-  if (status != 0 || begin == std::string::npos) throw NoPlot("gnuplot: " + svg.substr(0, 300));
+  if (status != 0 || begin == std::string::npos) throw PlotError("gnuplot: " + svg.substr(0, 300));
   return svg.substr(begin);
 }
 
--- a/src/pages/plot.hpp
+++ b/src/pages/plot.hpp
@@ -7,7 +7,7 @@
 
 namespace thistlefold::pages {
 
-struct NoPlot : std::runtime_error {
+struct PlotError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/pages/zones_account.hpp
+++ b/src/pages/zones_account.hpp
@@ -9,10 +9,10 @@
 
 namespace thistlefold::pages {
 
-struct Line : zones::UsageTotals {
+struct UsageRow : zones::UsageTotals {
   std::int64_t held = 0;
 
-  Line& operator+=(const Line& other) {
+  UsageRow& operator+=(const UsageRow& other) {
     zones::UsageTotals::operator+=(other);
     held += other.held;
     return *this;
@@ -20,26 +20,26 @@
 };
 
 /// A cell of an account, or a bucket of a series, which holds nothing now. Throws where a field is missing.
-inline Line lineOf(const boost::json::value& cell) {
+inline UsageRow parseUsageRow(const boost::json::value& cell) {
   const auto count = [&](const char* field) { return cell.at(field).to_number<std::uint64_t>(); };
-  Line line;
+  UsageRow line;
   line.invites = count("invites");
-  line.stood = count("stood");
-  line.cut = count("cut");
+  line.established = count("stood");
+  line.dropped = count("cut");
   line.refused = count("refused");
   line.circuitMicroseconds = count("circuit_us");
   if (const auto* held = cell.as_object().if_contains("held")) line.held = held->to_number<std::int64_t>();
   return line;
 }
 
-inline std::string wordOf(const boost::json::value& from, const char* field) {
+inline std::string stringField(const boost::json::value& from, const char* field) {
   return std::string(from.at(field).as_string());
 }
 
 /// All cells of what an office answers to `zones`: its own, and what its peers saw of one that was started anew, which
 /// counts where it is kept.
 template <typename What>
-void eachCell(const boost::json::value& office, What what) {
+void forEachCell(const boost::json::value& office, What what) {
   for (const char* list : {"cells", "inherited"}) {
     for (const boost::json::value& cell : office.at(list).as_array()) what(cell);
   }
--- a/src/pages/zones_page.cpp
+++ b/src/pages/zones_page.cpp
@@ -59,10 +59,10 @@
   return out.str();
 }
 
-void show(ctemplate::TemplateDictionary& row, const Line& line) {
+void show(ctemplate::TemplateDictionary& row, const UsageRow& line) {
   row.SetValue("INVITES", std::to_string(line.invites));
-  row.SetValue("STOOD", std::to_string(line.stood));
-  row.SetValue("CUT", std::to_string(line.cut));
+  row.SetValue("STOOD", std::to_string(line.established));
+  row.SetValue("CUT", std::to_string(line.dropped));
   row.SetValue("REFUSED", std::to_string(line.refused));
   row.SetValue("HELD", std::to_string(line.held));
   row.SetValue("SECONDS", seconds(static_cast<double>(line.circuitMicroseconds) / 1e6));
@@ -70,7 +70,7 @@
 
 using Pair = std::pair<std::string, std::string>;
 
-std::string matrixPlot(const std::map<Pair, Line>& pairs) {
+std::string matrixPlot(const std::map<Pair, UsageRow>& pairs) {
   std::set<std::string> names;
   for (const auto& [pair, line] : pairs) names.insert({pair.first, pair.second});
   const std::vector<std::string> zones(names.begin(), names.end());
@@ -103,11 +103,11 @@
   double span = 1;
   std::int64_t oldest = 0;
   for (const json::value& one : series) {
-    if (wordOf(one, "from") != pair.first || wordOf(one, "to") != pair.second) continue;
+    if (stringField(one, "from") != pair.first || stringField(one, "to") != pair.second) continue;
     span = one.at("span_ms").to_number<double>() / 1000;
     for (const json::value& bucket : one.at("buckets").as_array()) {
       const auto ago = bucket.at("ago").to_number<std::int64_t>();
-      use[wordOf(bucket, "service")][ago] += bucket.at("circuit_us").to_number<double>() / 1e6 / span;
+      use[stringField(bucket, "service")][ago] += bucket.at("circuit_us").to_number<double>() / 1e6 / span;
       oldest = std::max(oldest, ago);
     }
   }
@@ -133,12 +133,12 @@
     for (const json::value& office : offices) {
       steps.clear();
       for (const json::value& one : office.at("budget_changes").as_array()) {
-        if (wordOf(one, "to") != pair.second) continue;
+        if (stringField(one, "to") != pair.second) continue;
         steps.emplace_back(-one.at("ago_ms").to_number<double>() / 1000, one.at("circuits").to_number<int>());
       }
       const auto of = office.at("budgets").as_array();
       const bool here = std::any_of(of.begin(), of.end(), [&](const json::value& b) {
-        return wordOf(b, "from") == pair.first && wordOf(b, "to") == pair.second;
+        return stringField(b, "from") == pair.first && stringField(b, "to") == pair.second;
       });
       if (here && !steps.empty()) break;
     }
@@ -168,21 +168,22 @@
   ctemplate::TemplateDictionary page("zones");
   page.SetValue("TITLE", title);
   page.SetValue("OFFICES", std::to_string(offices.size()));
-  std::map<Pair, Line> pairs;
-  std::map<std::tuple<std::string, std::string, std::string, std::string>, Line> cells;
+  std::map<Pair, UsageRow> pairs;
+  std::map<std::tuple<std::string, std::string, std::string, std::string>, UsageRow> cells;
   struct Budget {
     std::int64_t whole = 0, held = 0, over = 0, under = 0, lent = 0, off = 0;
   };
   std::map<Pair, Budget> budgets;
   std::map<Pair, std::pair<double, double>> users;  // user, to; at most, at least
   for (const json::value& office : offices) {
-    eachCell(office, [&](const json::value& cell) {
-      pairs[{wordOf(cell, "from"), wordOf(cell, "to")}] += lineOf(cell);
-      cells[{wordOf(cell, "from"), wordOf(cell, "to"), wordOf(cell, "service"), wordOf(cell, "part")}] += lineOf(cell);
+    forEachCell(office, [&](const json::value& cell) {
+      pairs[{stringField(cell, "from"), stringField(cell, "to")}] += parseUsageRow(cell);
+      cells[{stringField(cell, "from"), stringField(cell, "to"), stringField(cell, "service"),
+             stringField(cell, "part")}] += parseUsageRow(cell);
     });
     for (const json::value& one : office.at("budgets").as_array()) {
       const auto number = [&](const char* field) { return one.at(field).to_number<std::int64_t>(); };
-      Budget& budget = budgets[{wordOf(one, "from"), wordOf(one, "to")}];
+      Budget& budget = budgets[{stringField(one, "from"), stringField(one, "to")}];
       budget.whole = number("whole");
       budget.held += number("held");
       budget.over += number("over");
@@ -191,7 +192,7 @@
       budget.off += number("written_off");
     }
     for (const json::value& one : office.at("users").as_array()) {
-      auto& [most, least] = users[{wordOf(one, "user"), wordOf(one, "to")}];
+      auto& [most, least] = users[{stringField(one, "user"), stringField(one, "to")}];
       const double sum = one.at("circuit_ms").to_number<double>() / 1000;
       most += sum;
       least += sum - one.at("slack_ms").to_number<double>() / 1000;
@@ -262,7 +263,7 @@
   if (users.empty()) page.ShowSection("NO_USER");
   std::string out;
   if (!ctemplate::ExpandTemplate("zones", ctemplate::DO_NOT_STRIP, &page, &out))
-    throw NoPlot("the page's template can't be read");
+    throw PlotError("the page's template can't be read");
   return out;
 }
 
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -282,8 +282,9 @@
       if (most >= 0 && most < share.guaranteed) form->fail("guaranteed is more than most");
       guaranteed += share.guaranteed;
     }
-    budget.dividing = oneOf(f, "dividing", {"equal", "lent"}) == 1 ? zones::Dividing::lent : zones::Dividing::equal;
-    budget.overrun = oneOf(f, "overrun", {"stand", "end"}) == 1 ? zones::Overrun::end : zones::Overrun::stand;
+    budget.division = oneOf(f, "dividing", {"equal", "lent"}) == 1 ? zones::Division::lending : zones::Division::equal;
+    budget.overrun =
+        oneOf(f, "overrun", {"stand", "end"}) == 1 ? zones::OverrunPolicy::end : zones::OverrunPolicy::keep;
     const double circuitSeconds = f.number("circuit-seconds", -1, 1e12);
     if (circuitSeconds >= 0) budget.circuitSeconds = circuitSeconds;
     budget.period = Span::ms(f.number("period", 1000, 1e9));
@@ -359,8 +360,8 @@
       out << " (class " << fleet.offeredServices[i].name << " (guaranteed " << b.classes[i].guaranteed << ") (most "
           << b.classes[i].most.value_or(-1) << "))";
     }
-    out << " (dividing " << (b.dividing == zones::Dividing::lent ? "lent" : "equal") << ") (overrun "
-        << (b.overrun == zones::Overrun::end ? "end" : "stand") << ") (circuit-seconds "
+    out << " (dividing " << (b.division == zones::Division::lending ? "lent" : "equal") << ") (overrun "
+        << (b.overrun == zones::OverrunPolicy::end ? "end" : "stand") << ") (circuit-seconds "
         << b.circuitSeconds.value_or(-1) << ") (period " << b.period.ms() << "))\n";
   }
   out << "  (directory \"" << text(fleet.directory) << "\"))\n";
--- a/src/zones/budget.cpp
+++ b/src/zones/budget.cpp
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing,
-                                     int circuits) {
+std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& kinds,
+                                             const std::vector<EstablishedSession>& standing, int circuits) {
   std::vector<std::size_t> order(standing.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    const double x = kinds[standing[a].service].worth, y = kinds[standing[b].service].worth;
+    const double x = kinds[standing[a].service].value, y = kinds[standing[b].service].value;
     return x != y ? x < y : standing[a].since > standing[b].since;
   });
   std::size_t count = 0;
@@ -33,16 +33,16 @@
   return order;
 }
 
-void Part::set(const std::optional<Bounds>& bounds) {
+void BudgetPart::set(const std::optional<Bounds>& bounds) {
   bounds_ = bounds;
   if (bounds_) bounds_->classes.resize(kinds_.size());
 }
 
-int Part::held() const { return std::accumulate(held_.begin(), held_.end(), 0); }
-int Part::left() const { return std::max(0, circuits() - held()); }
-int Part::over() const { return bounds_ ? std::max(0, held() - circuits()) : 0; }
+int BudgetPart::held() const { return std::accumulate(held_.begin(), held_.end(), 0); }
+int BudgetPart::free() const { return std::max(0, circuits() - held()); }
+int BudgetPart::excess() const { return bounds_ ? std::max(0, held() - circuits()) : 0; }
 
-int Part::widest(Instant now) const {
+int BudgetPart::widest(Instant now) const {
   int widest = 1;
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
     if (now - askedAt_[i] < kOfLate) widest = std::max(widest, kinds_[i].width);
@@ -50,7 +50,7 @@
   return widest;
 }
 
-Span Part::underIn() const {
+Span BudgetPart::timeUntilWithinBounds() const {
   // Of h sessions that each end after a mean hold, the next ends after hold / h on average.
   double sessions = 0, hold = 0;
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
@@ -58,16 +58,16 @@
     sessions += of;
     hold += of * kinds_[i].meanHold.ms();
   }
-  if (over() == 0 || sessions <= 0) return Span::none();
+  if (excess() == 0 || sessions <= 0) return Span::none();
   hold /= sessions;
   const double width = held() / sessions;
   double span = 0;
-  for (double toEnd = over() / width; toEnd > 0 && sessions >= 1; --toEnd, --sessions)
+  for (double toEnd = excess() / width; toEnd > 0 && sessions >= 1; --toEnd, --sessions)
     span += std::min(1.0, toEnd) * hold / sessions;
   return Span::ms(span);
 }
 
-bool Part::admits(Instant now, std::size_t service) const {
+bool BudgetPart::admits(Instant now, std::size_t service) const {
   if (!bounds_) return true;
   const int width = kinds_[service].width;
   const ClassShare& own = bounds_->classes[service];
@@ -86,31 +86,32 @@
     const std::optional<int>& most = bounds_->classes[i].most;
     if (kinds_[i].width > circuits() || (most && kinds_[i].width > *most) || now - askedAt_[i] >= kOfLate) continue;
     widest = std::max(widest, kinds_[i].width);
-    if (kinds_[i].worth > kinds_[service].worth) dearer = std::max(dearer, kinds_[i].width);
+    if (kinds_[i].value > kinds_[service].value) dearer = std::max(dearer, kinds_[i].width);
   }
   if (circuits() < kKeepsFrom * widest) dearer = 0;
   return room >= widest + dearer;
 }
 
-Allowance::Allowance(std::vector<Kind> kinds) : kinds_(std::move(kinds)), held_(kinds_.size()), asks_(kinds_.size()) {}
+Allowance::Allowance(std::vector<ServiceProfile> kinds)
+    : kinds_(std::move(kinds)), held_(kinds_.size()), asks_(kinds_.size()) {}
 
 void Allowance::set(Instant now, std::optional<double> circuitSeconds, Span period) {
-  settle(now);
+  accrue(now);
   whole_ = circuitSeconds;
   period_ = period;
 }
 
-Span Allowance::untilNext(Instant now) const {
+Span Allowance::untilNextPeriod(Instant now) const {
   const double since = std::fmod((now - Instant()).ms(), period_.ms());
   return Span::ms(period_.ms() - since);
 }
 
-void Allowance::settle(Instant now) {
+void Allowance::accrue(Instant now) {
   if (now <= settledAt_) return;
   double circuits = 0;
   for (const int held : held_) circuits += held;
   const Span past = now - settledAt_;
-  const Span thisPeriod = period_ - untilNext(now);
+  const Span thisPeriod = period_ - untilNextPeriod(now);
   // What was used before this period began counts no longer.
   if (past >= thisPeriod && past > Span::none()) used_ = 0;
   used_ += circuits * std::min(past, thisPeriod).ms() / 1000;
@@ -126,39 +127,39 @@
 }
 
 double Allowance::cost(Instant now, std::size_t service) const {
-  return kinds_[service].width * std::min(kinds_[service].meanHold, untilNext(now)).ms() / 1000;
+  return kinds_[service].width * std::min(kinds_[service].meanHold, untilNextPeriod(now)).ms() / 1000;
 }
 
 bool Allowance::admits(Instant now, std::size_t service) {
   if (!whole_) return true;
-  settle(now);
+  accrue(now);
   // Those that stand go on for a mean hold, however long they have stood.
   double left = *whole_ - used_;
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    left -= held_[i] * std::min(kinds_[i].meanHold, untilNext(now)).ms() / 1000;
+    left -= held_[i] * std::min(kinds_[i].meanHold, untilNextPeriod(now)).ms() / 1000;
   }
   left -= cost(now, service);
   if (left < 0) return false;
   const double keep = std::exp(-std::max(0.0, (now - fadedAt_).ms() / 1000) / kFadeSeconds);
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    if (kinds_[i].worth <= kinds_[service].worth) continue;
+    if (kinds_[i].value <= kinds_[service].value) continue;
     const double full = kinds_[i].width * kinds_[i].meanHold.ms() / 1000;
-    left -= asks_[i] * keep * full * untilNext(now).ms() / 1000;
+    left -= asks_[i] * keep * full * untilNextPeriod(now).ms() / 1000;
   }
   return left >= 0;
 }
 
-void Allowance::take(Instant now, std::size_t service) {
-  settle(now);
+void Allowance::seize(Instant now, std::size_t service) {
+  accrue(now);
   held_[service] += kinds_[service].width;
 }
 void Allowance::release(Instant now, std::size_t service) {
-  settle(now);
+  accrue(now);
   held_[service] -= kinds_[service].width;
 }
 
 double Allowance::used(Instant now) {
-  settle(now);
+  accrue(now);
   return used_;
 }
 
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -17,18 +17,18 @@
 };
 
 /// How a budget is divided among the offices of its zone.
-enum class Dividing { equal, lent };
+enum class Division { equal, lending };
 
 /// What becomes of sessions that stand above a budget that was lowered, or on circuits that were lent and not left.
-enum class Overrun { stand, end };
+enum class OverrunPolicy { keep, end };
 
 /// A budget of the whole fleet for one direction between two zones.
 struct Budget {
   int from = 0, to = 0;  // zones
   int circuits = 0;
   std::vector<ClassShare> classes;  // by service
-  Dividing dividing = Dividing::equal;
-  Overrun overrun = Overrun::stand;
+  Division division = Division::equal;
+  OverrunPolicy overrun = OverrunPolicy::keep;
   std::optional<double> circuitSeconds;  // that may be used in each period
   Span period = Span::ms(3600000);
 };
@@ -37,20 +37,20 @@
 inline int equalPart(int whole, int index, int count) { return whole / count + (index < whole % count ? 1 : 0); }
 
 /// What a budget has to know of a service.
-struct Kind {
+struct ServiceProfile {
   int width = 1;     // circuits of a session
-  double worth = 1;  // value of a circuit-second
+  double value = 1;  // value of a circuit-second
   Span meanHold = Span::ms(10000);
 };
 
 /// A session that stands over a budget.
-struct Standing {
+struct EstablishedSession {
   std::size_t service = 0;
   Instant since;
 };
 /// Which of these are to end so that `circuits` come free: of least worth first, of these the newest. Indexes.
-std::vector<std::size_t> whoMakesWay(const std::vector<Kind>& kinds, const std::vector<Standing>& standing,
-                                     int circuits);
+std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& kinds,
+                                             const std::vector<EstablishedSession>& standing, int circuits);
 
 /// What one office may hold at the moment.
 struct Bounds {
@@ -59,14 +59,14 @@
 };
 
 /// Who may take the next circuits of what one office has of a budget.
-class Part {
+class BudgetPart {
  public:
-  explicit Part(std::vector<Kind> kinds)
+  explicit BudgetPart(std::vector<ServiceProfile> kinds)
       : kinds_(std::move(kinds)), held_(kinds_.size()), askedAt_(kinds_.size(), Instant::longAgo()) {}
 
   /// Other bounds; what is held stays held, also above them. Nothing: no budget any more.
   void set(const std::optional<Bounds>& bounds);
-  bool bounded() const { return bounds_.has_value(); }
+  bool isBounded() const { return bounds_.has_value(); }
 
   /// A session of this service wants to cross, whether or not it may.
   void asked(Instant now, std::size_t service) { askedAt_[service] = now; }
@@ -77,24 +77,24 @@
   /// not while fewer are left beside that than a service of more worth takes. Both reckon with services that were
   /// asked for of late only.
   bool admits(Instant now, std::size_t service) const;
-  void take(std::size_t service) { held_[service] += kinds_[service].width; }
+  void seize(std::size_t service) { held_[service] += kinds_[service].width; }
   void release(std::size_t service) { held_[service] -= kinds_[service].width; }
 
-  const std::vector<Kind>& kinds() const { return kinds_; }
+  const std::vector<ServiceProfile>& services() const { return kinds_; }
   const std::optional<Bounds>& bounds() const { return bounds_; }
   int circuits() const { return bounds_ ? bounds_->circuits : 0; }
   int held() const;
   int heldBy(std::size_t service) const { return held_[service]; }
-  int left() const;
+  int free() const;
   /// Held above what it may hold.
-  int over() const;
+  int excess() const;
   /// How long, on average, until nothing is over by itself: sessions end as their services' mean hold says.
-  Span underIn() const;
+  Span timeUntilWithinBounds() const;
   /// Circuits of the widest service that was asked for of late.
   int widest(Instant now) const;
 
  private:
-  std::vector<Kind> kinds_;
+  std::vector<ServiceProfile> kinds_;
   std::vector<int> held_;
   std::vector<Instant> askedAt_;
   std::optional<Bounds> bounds_;
@@ -103,28 +103,28 @@
 /// How much of a period's circuit-seconds is left, and for whom. One office's part.
 class Allowance {
  public:
-  explicit Allowance(std::vector<Kind> kinds);
+  explicit Allowance(std::vector<ServiceProfile> kinds);
 
   /// Nothing: no such bound. What was used in the running period stays used.
   void set(Instant now, std::optional<double> circuitSeconds, Span period);
-  bool bounded() const { return whole_.has_value(); }
+  bool isBounded() const { return whole_.has_value(); }
   void asked(Instant now, std::size_t service);
   /// Whether enough is left for such a session of mean hold, beside those that stand, and beside what services of
   /// more worth will ask for until the period ends, as measured of late.
   bool admits(Instant now, std::size_t service);
-  void take(Instant now, std::size_t service);
+  void seize(Instant now, std::size_t service);
   void release(Instant now, std::size_t service);
 
   /// Circuit-seconds of the running period.
   double used(Instant now);
-  double whole() const { return whole_.value_or(0); }
-  Span untilNext(Instant now) const;
+  double limit() const { return whole_.value_or(0); }
+  Span untilNextPeriod(Instant now) const;
 
  private:
-  void settle(Instant now);
+  void accrue(Instant now);
   double cost(Instant now, std::size_t service) const;
 
-  std::vector<Kind> kinds_;
+  std::vector<ServiceProfile> kinds_;
   std::vector<int> held_;
   std::vector<double> asks_;  // a second, fading
   std::optional<double> whole_;
--- a/src/zones/lease.cpp
+++ b/src/zones/lease.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-LeasedBudget::LeasedBudget(std::vector<Kind> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
-                           LeaseSpans spans)
+LeasedBudget::LeasedBudget(std::vector<ServiceProfile> kinds, int place, std::vector<int> zonePeers, int towards,
+                           Instant now, LeaseTiming spans)
     : kinds_(kinds),
       place_(place),
       towards_(towards),
@@ -29,7 +29,7 @@
       own_(none()),
       lately_(3) {
   Span longest;
-  for (const Kind& kind : kinds_) longest = std::max(longest, kind.meanHold);
+  for (const ServiceProfile& kind : kinds_) longest = std::max(longest, kind.meanHold);
   spans_.writtenOffAfter = std::max(spans_.writtenOffAfter, longest * 3.0);
   sums_ = {none(), none(), none(), none()};
   for (Lately& one : lately_) one = {std::vector<int>(size()), std::vector<int>(size())};
@@ -47,7 +47,7 @@
   }
 }
 
-void LeasedBudget::set(Instant now, const std::optional<Budget>& budget) {
+void LeasedBudget::setBudget(Instant now, const std::optional<Budget>& budget) {
   if (budget_ && budget && budget->circuits < budget_->circuits) loweredAt_ = now;
   budget_ = budget;
   stale_ = true;
@@ -70,7 +70,7 @@
   bounds(now);
 }
 
-void LeasedBudget::wait(Instant now) {
+void LeasedBudget::beginStartupWait(Instant now) {
   waiting_ = budget_.has_value();
   bounds(now);
 }
@@ -87,7 +87,7 @@
 /// With equal parts there is nothing to say but what is left of earlier loans.
 bool LeasedBudget::talks() const {
   if (!budget_) return false;
-  if (budget_->dividing == Dividing::lent) return true;
+  if (budget_->division == Division::lending) return true;
   const auto any = [](const Units& units) {
     return std::any_of(units.begin(), units.end(), [](int one) { return one > 0; });
   };
@@ -155,10 +155,10 @@
   }
 }
 
-int LeasedBudget::mustEnd(Instant now) const {
-  if (!budget_ || budget_->overrun != Overrun::end) return 0;
+int LeasedBudget::circuitsToEnd(Instant now) const {
+  if (!budget_ || budget_->overrun != OverrunPolicy::end) return 0;
   // Lowered by the operator: those that stand on what lenders want back are ended too.
-  if (loweredAt_ <= now && now - loweredAt_ < spans_.term) return part_.over();
+  if (loweredAt_ <= now && now - loweredAt_ < spans_.term) return part_.excess();
   // On a loan that lapsed: before the lender writes it off. Its wait began before ours at the latest by the way of
   // one word, and its clock may be the faster one.
   if (overSince_ == Instant::never() ||
@@ -191,9 +191,9 @@
     if (!close) most = std::max(most, one.most[unit]);
     refused = std::max(refused, one.refused[unit]);
   }
-  if (!budget_ || budget_->dividing != Dividing::lent) return 0;
+  if (!budget_ || budget_->division != Division::lending) return 0;
   // A guarantee is only fallen back on when there is little room beside it.
-  if (unit > services && refused == 0 && part_.left() >= 2 * part_.widest(now)) return 0;
+  if (unit > services && refused == 0 && part_.free() >= 2 * part_.widest(now)) return 0;
   const int width = unit == 0 ? part_.widest(now) : kinds_[(unit - 1) % services].width;
   // What was refused is taken at its word for a start and measured from then on.
   const int more = std::min(refused, std::max(2 * width, most / 2));
@@ -205,7 +205,7 @@
 
 /// Of the own part, what can be lent beside what is.
 int LeasedBudget::spareOf(Instant now, std::size_t unit) const {
-  if (waiting_ || budget_->dividing != Dividing::lent) return 0;
+  if (waiting_ || budget_->division != Division::lending) return 0;
   addUp(now);
   int keep = needed(now, unit, true);
   if (unit == 0) {
@@ -227,9 +227,9 @@
   return part_.admits(now, service) && allowance_.admits(now, service);
 }
 
-void LeasedBudget::take(Instant now, std::size_t service) {
-  part_.take(service);
-  allowance_.take(now, service);
+void LeasedBudget::seize(Instant now, std::size_t service) {
+  part_.seize(service);
+  allowance_.seize(now, service);
   count(now);
 }
 
@@ -240,8 +240,8 @@
   if (budget_) bounds(now);
 }
 
-void LeasedBudget::refused(Instant now, std::size_t service) {
-  if (!budget_ || budget_->dividing != Dividing::lent) return;
+void LeasedBudget::recordRefusal(Instant now, std::size_t service) {
+  if (!budget_ || budget_->division != Division::lending) return;
   count(now);
   const int width = kinds_[service].width;
   lately_[0].refused[0] += width;
@@ -347,7 +347,7 @@
   mate.wanted = true;
 }
 
-bool LeasedBudget::hear(Instant now, const LeaseMessage& word) {
+bool LeasedBudget::receive(Instant now, const LeaseMessage& word) {
   if (word.zone != towards_ || !budget_) return false;
   for (const Units* units : {&word.granted, &word.spare, &word.recalled, &word.holds, &word.asks}) {
     if (units->size() != size()) return false;
@@ -427,7 +427,7 @@
   for (std::size_t unit = size(); unit-- > 0;) {
     int missing = waiting_ ? 0 : std::max(0, needed(now, unit, true) - ownLeft(unit));
     // Lending has been switched off.
-    if (budget_->dividing != Dividing::lent) missing = sums_.lent[unit];
+    if (budget_->division != Division::lending) missing = sums_.lent[unit];
     for (ZonePeer& mate : peers_) {
       int most = mate.writtenOff || now - mate.heardAt > spans_.word * 3.0 ? 0 : mate.lent[unit];
       // Not the circuits that a lent guarantee stands for: whatever floods here has no claim on those.
@@ -467,7 +467,7 @@
   return word;
 }
 
-std::vector<std::pair<int, LeaseMessage>> LeasedBudget::speak(Instant now) {
+std::vector<std::pair<int, LeaseMessage>> LeasedBudget::process(Instant now) {
   std::vector<std::pair<int, LeaseMessage>> words;
   endWait(now);
   if (!talks()) {
@@ -516,7 +516,7 @@
   return words;
 }
 
-Instant LeasedBudget::nextDue() const {
+Instant LeasedBudget::nextDeadline() const {
   if (settleAt_ != Instant::never()) return settleAt_;
   Instant due = Instant::never();
   // Once settled it waits for a word, or for the term to end; with a mate that is silent, due at once would be due for
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -42,7 +42,7 @@
 };
 
 /// Spans of lending.
-struct LeaseSpans {
+struct LeaseTiming {
   Span word = Span::ms(1000);    // a word goes to each peer so often ...
   Span soonest = Span::ms(50);   // ... and no sooner than this after the last, if there is need
   Span term = Span::ms(10000);   // a borrower takes nothing new on a loan when its lender has been silent so long
@@ -61,32 +61,32 @@
  public:
   /// `place`: of this office; `zonePeers`: places of all offices of its zone, this one among them, in the fleet
   /// file's order.
-  LeasedBudget(std::vector<Kind> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
-               LeaseSpans spans = {});
+  LeasedBudget(std::vector<ServiceProfile> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
+               LeaseTiming spans = {});
 
   /// From now on. What stands, stands; what is lent is wanted back where the part has become less.
-  void set(Instant now, const std::optional<Budget>& budget);
+  void setBudget(Instant now, const std::optional<Budget>& budget);
   /// Called after set() when the office has just been started. The own part is not used until what stood over an
   /// office that went before this one is over, and, with lending, until all mates have told what they hold of it or
   /// a term has passed.
-  void wait(Instant now);
-  bool bounded() const { return budget_.has_value(); }
+  void beginStartupWait(Instant now);
+  bool isBounded() const { return budget_.has_value(); }
   const std::optional<Budget>& budget() const { return budget_; }
 
   bool admits(Instant now, std::size_t service);
-  void take(Instant now, std::size_t service);
+  void seize(Instant now, std::size_t service);
   void release(Instant now, std::size_t service);
   /// A session was refused for want of room; with asked(), what is wanted.
-  void refused(Instant now, std::size_t service);
+  void recordRefusal(Instant now, std::size_t service);
 
   /// A word that came in. False: from no mate, or malformed; nothing was changed.
-  bool hear(Instant now, const LeaseMessage& word);
+  bool receive(Instant now, const LeaseMessage& word);
   /// What is to be said now, and to whom. Also settles what has lapsed.
-  std::vector<std::pair<int, LeaseMessage>> speak(Instant now);
-  Instant nextDue() const;
+  std::vector<std::pair<int, LeaseMessage>> process(Instant now);
+  Instant nextDeadline() const;
 
   /// For the module and reports.
-  const Part& part() const { return part_; }
+  const BudgetPart& part() const { return part_; }
   Allowance& allowance() { return allowance_; }
   int owned() const { return own_.empty() ? 0 : own_[0]; }
   int lent() const {
@@ -98,11 +98,11 @@
     addUp(ranAt_);
     return sums_.writtenOff[0];
   }
-  bool waiting() const { return waiting_; }
+  bool inStartupWait() const { return waiting_; }
   /// Circuits of standing sessions that are to be ended now, by the operator's word.
-  int mustEnd(Instant now) const;
+  int circuitsToEnd(Instant now) const;
   /// True once after the bounds have changed by themselves: the groups are to be shown anew.
-  bool changed() { return std::exchange(changed_, false); }
+  bool consumeBoundsChanged() { return std::exchange(changed_, false); }
 
  private:
   struct ZonePeer {
@@ -148,14 +148,14 @@
   void count(Instant now);
   LeaseMessage wordTo(Instant now, ZonePeer& mate);
 
-  std::vector<Kind> kinds_;
+  std::vector<ServiceProfile> kinds_;
   int place_, towards_;
   std::size_t index_ = 0, count_ = 1;
-  LeaseSpans spans_;
+  LeaseTiming spans_;
   std::uint64_t mark_;
   Instant started_;
   std::optional<Budget> budget_;
-  Part part_;
+  BudgetPart part_;
   Allowance allowance_;
   Units own_;
   std::vector<ZonePeer> peers_;
--- a/src/zones/ledger.cpp
+++ b/src/zones/ledger.cpp
@@ -15,8 +15,8 @@
 
 UsageTotals& UsageTotals::operator+=(const UsageTotals& other) {
   invites += other.invites;
-  stood += other.stood;
-  cut += other.cut;
+  established += other.established;
+  dropped += other.dropped;
   refused += other.refused;
   circuitMicroseconds += other.circuitMicroseconds;
   return *this;
@@ -32,7 +32,7 @@
   if (UsageTotals* bucket = hours_.at(at / kHour)) change(*bucket);
 }
 
-void UsageCell::settle(Instant now) {
+void UsageCell::accrue(Instant now) {
   const std::uint64_t until = microseconds(now);
   // A clock that went back adds nothing and takes nothing away.
   while (settledAt_ < until) {
@@ -46,39 +46,39 @@
 }
 
 void UsageCell::invited(Instant now, int circuits) {
-  settle(now);
+  accrue(now);
   add(settledAt_, [](UsageTotals& sums) { ++sums.invites; });
   held_ += circuits;
 }
 
-void UsageCell::stood(Instant now) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.stood; });
+void UsageCell::established(Instant now) {
+  accrue(now);
+  add(settledAt_, [](UsageTotals& sums) { ++sums.established; });
 }
 
-void UsageCell::cut(Instant now) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.cut; });
+void UsageCell::dropped(Instant now) {
+  accrue(now);
+  add(settledAt_, [](UsageTotals& sums) { ++sums.dropped; });
 }
 
 void UsageCell::refused(Instant now) {
-  settle(now);
+  accrue(now);
   add(settledAt_, [](UsageTotals& sums) { ++sums.refused; });
 }
 
 void UsageCell::released(Instant now, int circuits) {
-  settle(now);
+  accrue(now);
   held_ -= circuits;
 }
 
-UsageCell& UsageLedger::cell(const Key& key) {
+UsageCell& UsageLedger::cell(const UsageKey& key) {
   auto& one = cells_[key];
   if (one == nullptr) one = std::make_unique<UsageCell>();
   return *one;
 }
 
-void UsageLedger::settle(Instant now) {
-  for (auto& [key, cell] : cells_) cell->settle(now);
+void UsageLedger::accrue(Instant now) {
+  for (auto& [key, cell] : cells_) cell->accrue(now);
 }
 
 }  // namespace thistlefold::zones
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -19,8 +19,8 @@
 /// Sums; all whole numbers, so that sums over any parts agree to the unit.
 struct UsageTotals {
   std::uint64_t invites = 0;
-  std::uint64_t stood = 0;
-  std::uint64_t cut = 0;
+  std::uint64_t established = 0;
+  std::uint64_t dropped = 0;
   std::uint64_t refused = 0;              // for want of budget; nothing was sent
   std::uint64_t circuitMicroseconds = 0;  // circuits held times how long
 
@@ -44,7 +44,7 @@
   const UsageTotals* find(std::uint64_t number) const {
     return number > newest_ || number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
-  static constexpr std::size_t room() { return N; }
+  static constexpr std::size_t capacity() { return N; }
 
  private:
   std::array<UsageTotals, N> buckets_{};
@@ -56,12 +56,12 @@
 class UsageCell {
  public:
   void invited(Instant now, int circuits);
-  void stood(Instant now);
-  void cut(Instant now);
+  void established(Instant now);
+  void dropped(Instant now);
   void refused(Instant now);
   void released(Instant now, int circuits);
   /// Brings the circuit time up to now. Called by all of the above; by a reader before it reads.
-  void settle(Instant now);
+  void accrue(Instant now);
 
   const UsageTotals& total() const { return total_; }
   int held() const { return held_; }
@@ -81,23 +81,23 @@
   int held_ = 0;
 };
 
-struct Key {
+struct UsageKey {
   int from = 0, to = 0;  // zones
   int service = 0;
-  LegKind way = LegKind::direct;
-  friend auto operator<=>(const Key&, const Key&) = default;
+  LegKind legKind = LegKind::direct;
+  friend auto operator<=>(const UsageKey&, const UsageKey&) = default;
 };
 
 /// All cells of an office. Cells are made when first used and stay where they are; there are at most zones x services
 /// x 3 of them, since an office sends from one zone.
 class UsageLedger {
  public:
-  UsageCell& cell(const Key& key);
-  const std::map<Key, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
-  void settle(Instant now);
+  UsageCell& cell(const UsageKey& key);
+  const std::map<UsageKey, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
+  void accrue(Instant now);
 
  private:
-  std::map<Key, std::unique_ptr<UsageCell>> cells_;
+  std::map<UsageKey, std::unique_ptr<UsageCell>> cells_;
 };
 
 }  // namespace thistlefold::zones
--- a/src/zones/peer_usage.cpp
+++ b/src/zones/peer_usage.cpp
@@ -2,7 +2,7 @@
 
 namespace thistlefold::zones {
 
-void PeerUsage::started(int office, std::uint64_t mark) {
+void PeerUsage::recordIncarnation(int office, std::uint64_t mark) {
   UsageReplica& replica = replicas_[office];
   // A word of an earlier start that was late on its way changes nothing.
   if (mark <= replica.mark) return;
@@ -11,8 +11,8 @@
   replica.mark = mark;
 }
 
-UsageTotals& PeerUsage::of(int office, std::uint64_t mark, const Key& key) {
-  started(office, mark);
+UsageTotals& PeerUsage::totalsFor(int office, std::uint64_t mark, const UsageKey& key) {
+  recordIncarnation(office, mark);
   UsageReplica& replica = replicas_[office];
   return mark == replica.mark ? replica.sums[key] : inherited_[key];
 }
--- a/src/zones/peer_usage.hpp
+++ b/src/zones/peer_usage.hpp
@@ -17,19 +17,19 @@
  public:
   /// Something was heard from that office, which was started at `mark` by its own clock. What an earlier start of it
   /// sent is from now on accounted for here.
-  void started(int office, std::uint64_t mark);
+  void recordIncarnation(int office, std::uint64_t mark);
   /// The sums for a leg that came in from `office`, as it was started at `mark`.
-  UsageTotals& of(int office, std::uint64_t mark, const Key& key);
+  UsageTotals& totalsFor(int office, std::uint64_t mark, const UsageKey& key);
   /// What offices sent here before they were started anew.
-  const std::map<Key, UsageTotals>& inherited() const { return inherited_; }
+  const std::map<UsageKey, UsageTotals>& inherited() const { return inherited_; }
 
  private:
   struct UsageReplica {
     std::uint64_t mark = 0;
-    std::map<Key, UsageTotals> sums;
+    std::map<UsageKey, UsageTotals> sums;
   };
   std::map<int, UsageReplica> replicas_;  // by place; as many cells each as the office's own account towards here
-  std::map<Key, UsageTotals> inherited_;
+  std::map<UsageKey, UsageTotals> inherited_;
 };
 
 }  // namespace thistlefold::zones
--- a/src/zones/top_users.hpp
+++ b/src/zones/top_users.hpp
@@ -18,7 +18,7 @@
   struct User {
     std::string name;
     std::uint64_t sum = 0;
-    std::uint64_t slack = 0;  // of it, may be another's who had to make room
+    std::uint64_t maxOverestimate = 0;  // of it, may be another's who had to make room
   };
 
   explicit TopUsers(std::size_t room) : room_(room) { users_.reserve(room); }
@@ -42,7 +42,7 @@
     at_.erase(least->name);
     at_.emplace(name, static_cast<std::size_t>(least - users_.begin()));
     least->name = name;
-    least->slack = least->sum;
+    least->maxOverestimate = least->sum;
     least->sum += amount;
   }
 
@@ -55,7 +55,7 @@
     return sorted;
   }
   std::uint64_t all() const { return all_; }
-  std::size_t room() const { return room_; }
+  std::size_t capacity() const { return room_; }
 
  private:
   std::size_t room_;
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -38,7 +38,7 @@
   zones::Budget budget;
   budget.to = 1;
   budget.circuits = 7;
-  budget.dividing = zones::Dividing::lent;
+  budget.division = zones::Division::lending;
   budget.classes.resize(fleet.offeredServices.size());
   fleet.budgets = {budget};
   return fleet;
--- a/tests/program/lease.cpp
+++ b/tests/program/lease.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-const std::vector<Kind> kKinds{{1, 2, Span::ms(10000)}, {4, 1, Span::ms(10000)}};
+const std::vector<ServiceProfile> kKinds{{1, 2, Span::ms(10000)}, {4, 1, Span::ms(10000)}};
 
 Budget lentBudget(int circuits) {
   Budget budget;
   budget.to = 1;
   budget.circuits = circuits;
-  budget.dividing = Dividing::lent;
+  budget.division = Division::lending;
   return budget;
 }
 
@@ -27,16 +27,16 @@
   Pair() { start(0), start(1), talk(4000); }
   void start(int i) {
     pools[i] = std::make_unique<LeasedBudget>(kKinds, i, std::vector<int>{0, 1}, 1, now);
-    pools[i]->set(now, lentBudget(20));
-    pools[i]->wait(now);
+    pools[i]->setBudget(now, lentBudget(20));
+    pools[i]->beginStartupWait(now);
   }
   /// Each hears what the other says, but for words to `deaf`.
   void talk(double ms, int deaf = -1) {
     for (const Instant end = now + Span::ms(ms); now < end; now = now + Span::ms(25)) {
       for (int i : {0, 1}) {
-        for (auto& [to, word] : pools[i]->speak(now)) {
+        for (auto& [to, word] : pools[i]->process(now)) {
           last[i] = word;
-          if (to != deaf) pools[to]->hear(now, word);
+          if (to != deaf) pools[to]->receive(now, word);
         }
       }
     }
@@ -45,9 +45,9 @@
   void fill(int i, int sessions) {
     for (int tries = 0; tries < 200 && pools[i]->part().held() < sessions; ++tries) {
       if (pools[i]->admits(now, 0)) {
-        pools[i]->take(now, 0);
+        pools[i]->seize(now, 0);
       } else {
-        pools[i]->refused(now, 0);
+        pools[i]->recordRefusal(now, 0);
         talk(100);
       }
     }
@@ -114,9 +114,9 @@
   CHECK(lent >= 6);
   for (int i = 0; i < 8; ++i) {
     if (pair.pools[1]->admits(pair.now, 0))
-      pair.pools[1]->take(pair.now, 0);
+      pair.pools[1]->seize(pair.now, 0);
     else
-      pair.pools[1]->refused(pair.now, 0);
+      pair.pools[1]->recordRefusal(pair.now, 0);
   }
   pair.talk(300);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
@@ -134,8 +134,8 @@
   // The lender hears nothing of it either.
   const auto apart = [&](double ms) {
     for (const Instant end = pair.now + Span::ms(ms); pair.now < end; pair.now = pair.now + Span::ms(50)) {
-      pair.pools[0]->speak(pair.now);
-      pair.pools[1]->speak(pair.now);
+      pair.pools[0]->process(pair.now);
+      pair.pools[1]->process(pair.now);
     }
   };
   apart(9000);
@@ -143,18 +143,18 @@
   apart(2000);
   CHECK(pair.pools[0]->borrowed(pair.now) == 0);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
-  CHECK(pair.pools[0]->part().over() == 6);
+  CHECK(pair.pools[0]->part().excess() == 6);
   CHECK(pair.pools[1]->lent() == lent);
   CHECK(pair.pools[1]->writtenOff() == 0);
   // What the operator wants ended is to end before the lender counts on it again.
   Budget ending = lentBudget(20);
-  ending.overrun = Overrun::end;
-  pair.pools[0]->set(pair.now, ending);
-  while (pair.pools[0]->mustEnd(pair.now) == 0 && pair.pools[1]->writtenOff() == 0) apart(50);
-  CHECK(pair.pools[0]->mustEnd(pair.now) == 6);
+  ending.overrun = OverrunPolicy::end;
+  pair.pools[0]->setBudget(pair.now, ending);
+  while (pair.pools[0]->circuitsToEnd(pair.now) == 0 && pair.pools[1]->writtenOff() == 0) apart(50);
+  CHECK(pair.pools[0]->circuitsToEnd(pair.now) == 6);
   CHECK(pair.pools[1]->writtenOff() == 0);
-  pair.pools[0]->set(pair.now, lentBudget(20));
-  CHECK(pair.pools[0]->mustEnd(pair.now) == 0);
+  pair.pools[0]->setBudget(pair.now, lentBudget(20));
+  CHECK(pair.pools[0]->circuitsToEnd(pair.now) == 0);
   apart(4000);
   CHECK(pair.pools[1]->writtenOff() == lent);
   CHECK(pair.pools[1]->lent() == 0);
@@ -162,7 +162,7 @@
   pair.talk(3000);
   CHECK(pair.pools[1]->writtenOff() == 0);
   CHECK(pair.pools[1]->lent() >= 6);
-  CHECK(pair.pools[0]->part().over() <= 1);
+  CHECK(pair.pools[0]->part().excess() <= 1);
 }
 
 TEST_CASE("an office frozen past its lease that wakes with old grants in its socket does not use them") {
@@ -170,10 +170,10 @@
   pair.fill(0, 14);
   std::vector<LeaseMessage> queued;
   for (int i = 0; i < 2000; ++i, pair.now = pair.now + Span::ms(25)) {
-    for (auto& [to, word] : pair.pools[1]->speak(pair.now)) queued.push_back(word);
+    for (auto& [to, word] : pair.pools[1]->process(pair.now)) queued.push_back(word);
   }
   CHECK(pair.pools[1]->writtenOff() > 0);
-  for (const LeaseMessage& word : queued) pair.pools[0]->hear(pair.now, word);
+  for (const LeaseMessage& word : queued) pair.pools[0]->receive(pair.now, word);
   CHECK(pair.pools[0]->borrowed(pair.now) == 0);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
 }
@@ -186,8 +186,8 @@
   pair.talk(6000);
   const int borrowed = pair.pools[0]->borrowed(pair.now);
   CHECK(old.granted[0] > borrowed);
-  pair.pools[0]->hear(pair.now, old);
-  pair.pools[0]->speak(pair.now);
+  pair.pools[0]->receive(pair.now, old);
+  pair.pools[0]->process(pair.now);
   CHECK(pair.pools[0]->borrowed(pair.now) == borrowed);
 }
 
@@ -199,17 +199,17 @@
   pair.start(1);
   CHECK(pair.pools[1]->part().circuits() == 0);
   pair.talk(2000);
-  CHECK_FALSE(pair.pools[1]->waiting());
+  CHECK_FALSE(pair.pools[1]->inStartupWait());
   CHECK(pair.pools[1]->lent() >= std::min(borrowed, 6));
   CHECK(pair.sum() <= 20);
   // With nobody there to ask it waits a term and no longer.
   LeasedBudget alone(kKinds, 1, {0, 1}, 1, pair.now);
-  alone.set(pair.now, lentBudget(20));
-  alone.wait(pair.now);
-  alone.speak(pair.now + Span::ms(9000));
-  CHECK(alone.waiting());
-  alone.speak(pair.now + Span::ms(10200));
-  CHECK_FALSE(alone.waiting());
+  alone.setBudget(pair.now, lentBudget(20));
+  alone.beginStartupWait(pair.now);
+  alone.process(pair.now + Span::ms(9000));
+  CHECK(alone.inStartupWait());
+  alone.process(pair.now + Span::ms(10200));
+  CHECK_FALSE(alone.inStartupWait());
   CHECK(alone.part().circuits() == 10);
 }
 
@@ -232,13 +232,13 @@
   Pair pair;
   pair.fill(0, 16);
   Budget lower = lentBudget(6);
-  lower.overrun = Overrun::end;
-  for (const auto& pool : pair.pools) pool->set(pair.now, lower);
-  CHECK(pair.pools[0]->mustEnd(pair.now) > 0);
+  lower.overrun = OverrunPolicy::end;
+  for (const auto& pool : pair.pools) pool->setBudget(pair.now, lower);
+  CHECK(pair.pools[0]->circuitsToEnd(pair.now) > 0);
   CHECK_FALSE(pair.pools[0]->admits(pair.now, 0));
-  CHECK(pair.pools[0]->part().underIn() > Span::none());
+  CHECK(pair.pools[0]->part().timeUntilWithinBounds() > Span::none());
   pair.talk(500);
-  while (pair.pools[0]->mustEnd(pair.now) > 0) {
+  while (pair.pools[0]->circuitsToEnd(pair.now) > 0) {
     pair.pools[0]->release(pair.now, 0);
     pair.talk(50);
   }
@@ -250,8 +250,8 @@
     while (pool->part().held() > 0) pool->release(pair.now, 0);
   }
   Budget equal = lower;
-  equal.dividing = Dividing::equal;
-  for (const auto& pool : pair.pools) pool->set(pair.now, equal);
+  equal.division = Division::equal;
+  for (const auto& pool : pair.pools) pool->setBudget(pair.now, equal);
   pair.talk(3000);
   CHECK(pair.pools[0]->lent() + pair.pools[1]->lent() == 0);
   CHECK(pair.sum() == 6);
@@ -262,7 +262,7 @@
   std::uint64_t borrowedAtAll = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     model::ZoneDay day = randomDay(seed);
-    day.overrun = Overrun::end;
+    day.overrun = OverrunPolicy::end;
     const model::ZoneResult result = model::play(day);
     CAPTURE(seed);
     CHECK(result.mostOver == 0);
@@ -330,20 +330,20 @@
   LeaseMessage word = pair.last[0];
   word.sent += 1000000;
   word.asks.pop_back();
-  CHECK_FALSE(pair.pools[1]->hear(pair.now, word));
+  CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
   word = pair.last[0];
   word.from = 7;
-  CHECK_FALSE(pair.pools[1]->hear(pair.now, word));
+  CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
   word = pair.last[0];
   word.asks[0] = -4;
-  CHECK_FALSE(pair.pools[1]->hear(pair.now, word));
+  CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
 }
 
 TEST_CASE("circuit-seconds of a period: the dearer service gets what is left, and the next period begins anew") {
   Allowance allowance(kKinds);
   const Instant begin = Instant::ms(600000);
   allowance.set(begin, 100.0, Span::ms(60000));
-  CHECK(allowance.untilNext(begin) == Span::ms(60000));
+  CHECK(allowance.untilNextPeriod(begin) == Span::ms(60000));
   // The dear one is asked for once a second: ten circuit-seconds each, more than there is.
   Instant now = begin;
   int dear = 0, cheap = 0;
@@ -353,7 +353,7 @@
     if (i > 2) allowance.asked(now, 1);
     if (i > 2 && allowance.admits(now, 1)) ++cheap;
     if (allowance.admits(now, 0)) {
-      allowance.take(now, 0);
+      allowance.seize(now, 0);
       ends.push_back(now + Span::ms(10000));
       ++dear;
     }
@@ -377,12 +377,12 @@
   const Instant started = two.now;
   int turns = 0;
   for (Instant now = started; now < started + Span::ms(12000); ++turns) {
-    two.pools[1]->speak(now);
-    const Instant due = two.pools[1]->nextDue();
+    two.pools[1]->process(now);
+    const Instant due = two.pools[1]->nextDeadline();
     REQUIRE(due > now);
     now = due;
   }
   // A word a second to the mate, the end of settling and the end of the term.
   CHECK(turns < 30);
-  CHECK_FALSE(two.pools[1]->waiting());
+  CHECK_FALSE(two.pools[1]->inStartupWait());
 }
--- a/tests/program/mesh.cpp
+++ b/tests/program/mesh.cpp
@@ -26,8 +26,8 @@
       if (a < b) mesh.groups.push_back({a, b, circuits, a % 2 == b % 2 ? 1.0 : 3.0});
       if (a == b) continue;
       const double here = load * (1 + spread * (2 * std::generate_canonical<double, 53>(chance) - 1));
-      mesh.loads[mesh.at(a, b, 0)] = 0.8 * here;
-      mesh.loads[mesh.at(a, b, 1)] = 0.05 * here;
+      mesh.loads[mesh.loadIndex(a, b, 0)] = 0.8 * here;
+      mesh.loads[mesh.loadIndex(a, b, 1)] = 0.05 * here;
     }
   }
   return mesh;
@@ -115,14 +115,14 @@
   for (const Case& one : {Case{5, 24, 7}, Case{5, 24, 9}, Case{6, 30, 14}, Case{8, 20, 9}}) {
     const Mesh mesh = fullMesh(one.places, one.circuits, one.load, 0.4, 3);
     const MeshLoss expected = meshLoss(mesh);
-    CHECK(expected.settled);
+    CHECK(expected.converged);
     const std::vector<double> seen = played(mesh, 1500, 5);
     CAPTURE(one.places);
     CAPTURE(one.load);
     for (std::size_t s = 0; s < 2; ++s) {
-      MESSAGE("service " << s << " lost: expected " << expected.service[s] << ", played " << seen[s]);
+      MESSAGE("service " << s << " lost: expected " << expected.serviceLoss[s] << ", played " << seen[s]);
       // In deep overload the groups that send to each other move together, which the fixed point does not see.
-      CHECK(std::abs(expected.service[s] - seen[s]) < (seen[s] > 0.5 ? 0.05 : 0.03));
+      CHECK(std::abs(expected.serviceLoss[s] - seen[s]) < (seen[s] > 0.5 ? 0.05 : 0.03));
     }
   }
 }
@@ -135,33 +135,33 @@
   mesh.loads = {0, 6, 2, 0};
   const MeshLoss loss = meshLoss(mesh);
   CHECK(loss.loss[1] == Approx(0.1217).epsilon(0.01));  // Erlang B of 8 on 10
-  CHECK(loss.service[0] == Approx(loss.loss[1]).epsilon(1e-3));
-  CHECK(loss.use[0] == Approx(8 * (1 - loss.loss[1])).epsilon(0.01));
+  CHECK(loss.serviceLoss[0] == Approx(loss.loss[1]).epsilon(1e-3));
+  CHECK(loss.meanUse[0] == Approx(8 * (1 - loss.loss[1])).epsilon(0.01));
   mesh.groups[0].circuits = 0;
-  CHECK(meshLoss(mesh).service[0] == 1);
+  CHECK(meshLoss(mesh).serviceLoss[0] == 1);
   mesh.loads.assign(4, 0.0);
-  CHECK(meshLoss(mesh).service[0] == 0);
+  CHECK(meshLoss(mesh).serviceLoss[0] == 0);
 }
 
 TEST_CASE("a plan meets what is wished, costs no more than each group by itself, and comes in whole modules") {
   for (const int module : {1, 6}) {
     const Mesh mesh = fullMesh(6, 24, 8, 0.6, 11);
-    Wish wish;
+    DimensioningTarget wish;
     wish.loss = {0.01, 0.02};
-    wish.module = module;
+    wish.moduleSize = module;
     const Advice advice = advise(mesh, wish);
-    CHECK(advice.met);
-    CHECK(advice.expected.service[0] <= 0.01);
-    CHECK(advice.expected.service[1] <= 0.02);
-    CHECK(advice.expected.worst[1] <= 0.06);
+    CHECK(advice.targetMet);
+    CHECK(advice.expected.serviceLoss[0] <= 0.01);
+    CHECK(advice.expected.serviceLoss[1] <= 0.02);
+    CHECK(advice.expected.worstPairLoss[1] <= 0.06);
     double naive = 0;
-    const auto alone = perGroup(mesh, wish);
+    const auto alone = sizeGroupsSeparately(mesh, wish);
     for (std::size_t g = 0; g < alone.size(); ++g) {
       naive += alone[g] * mesh.groups[g].price;
       CHECK(advice.circuits[g] % module == 0);
     }
     CHECK(advice.price < naive);
-    CHECK(advice.why.size() == mesh.groups.size());
+    CHECK(advice.explanations.size() == mesh.groups.size());
     // Played on the plan, about that is lost.
     Mesh planned = mesh;
     for (std::size_t g = 0; g < alone.size(); ++g) planned.groups[g].circuits = advice.circuits[g];
@@ -174,12 +174,12 @@
 TEST_CASE("a pair without a group is planned for over tandems, and one that can't be helped is told") {
   Mesh mesh = fullMesh(4, 20, 5, 0, 1);
   mesh.groups.erase(mesh.groups.begin());  // 0 and 1 only over 2 and 3
-  Wish wish;
+  DimensioningTarget wish;
   wish.loss = {0.01, 0.05};
   const Advice advice = advise(mesh, wish);
-  CHECK(advice.met);
-  CHECK(advice.expected.loss[mesh.at(0, 1, 0)] <= 0.03);
+  CHECK(advice.targetMet);
+  CHECK(advice.expected.loss[mesh.loadIndex(0, 1, 0)] <= 0.03);
   Mesh island = mesh;
   std::erase_if(island.groups, [](const MeshGroup& one) { return one.a == 0 || one.b == 0; });
-  CHECK_FALSE(advise(island, wish).met);
+  CHECK_FALSE(advise(island, wish).targetMet);
 }
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -51,7 +51,7 @@
         break;
       case 2:
         if (held.empty()) break;
-        cell.stood(now);
+        cell.established(now);
         [[fallthrough]];
       default:
         if (held.empty()) break;
@@ -60,7 +60,7 @@
         held.pop_back();
     }
   }
-  cell.settle(now);
+  cell.accrue(now);
   CHECK(cell.held() == circuits);
   CHECK(cell.total().circuitMicroseconds == exact);
   CHECK(cell.total().invites > 100);
@@ -76,13 +76,13 @@
   UsageCell cell;
   cell.invited(Instant::ms(1500), 2);
   cell.released(Instant::ms(2500), 2);
-  cell.settle(Instant::ms(7.2e6));
+  cell.accrue(Instant::ms(7.2e6));
   CHECK(cell.total().circuitMicroseconds == 2000000);
   cell.invited(Instant::ms(7.2e6), 1);
   CHECK(cell.seconds().find(1) == nullptr);
   CHECK(cell.hours().find(0)->circuitMicroseconds == 2000000);
   CHECK(cell.hours().find(2)->invites == 1);
-  cell.settle(Instant::ms(7.0e6));  // a clock that goes back
+  cell.accrue(Instant::ms(7.0e6));  // a clock that goes back
   CHECK(cell.total().circuitMicroseconds == 2000000);
 }
 
@@ -136,16 +136,16 @@
 
 const Instant kNow = Instant::ms(1e6);
 
-Part partOf(int circuits, std::vector<ClassShare> classes) {
-  Part part({{1, 1, Span::ms(10000)}, {4, 1, Span::ms(10000)}});
+BudgetPart partOf(int circuits, std::vector<ClassShare> classes) {
+  BudgetPart part({{1, 1, Span::ms(10000)}, {4, 1, Span::ms(10000)}});
   part.set(Bounds{circuits, std::move(classes)});
   for (std::size_t service : {0u, 1u}) part.asked(kNow, service);
   return part;
 }
 
-int fill(Part& part, std::size_t service) {
+int fill(BudgetPart& part, std::size_t service) {
   int taken = 0;
-  for (; part.admits(kNow, service); ++taken) part.take(service);
+  for (; part.admits(kNow, service); ++taken) part.seize(service);
   return taken;
 }
 
@@ -163,17 +163,17 @@
 }
 
 TEST_CASE("a flood of one class takes its most part and what others leave, never their guarantee") {
-  Part part = partOf(24, {{0, std::nullopt}, {12, std::nullopt}});
+  BudgetPart part = partOf(24, {{0, std::nullopt}, {12, std::nullopt}});
   fill(part, 0);
   CHECK(part.heldBy(0) == 9);  // 24 less the guarantee, less what the widest needs beyond it
   CHECK(fill(part, 1) == 3);   // the guarantee is reachable at once, whatever the flood holds
-  Part bounded = partOf(24, {{0, 5}, {0, std::nullopt}});
+  BudgetPart bounded = partOf(24, {{0, 5}, {0, std::nullopt}});
   CHECK(fill(bounded, 0) == 5);
   CHECK(fill(bounded, 1) == 4);
 }
 
 TEST_CASE("wide and narrow sessions are refused in the same states") {
-  Part part = partOf(20, {{}, {}});
+  BudgetPart part = partOf(20, {{}, {}});
   // Narrow ones stop where a wide one would no longer fit, so the next circuits that come free are as good for it.
   CHECK(fill(part, 0) == 17);
   CHECK_FALSE(part.admits(kNow, 1));
@@ -183,12 +183,12 @@
   // Nobody has asked for a wide one of late: nothing is kept for it.
   for (int i = 0; i < 4; ++i) CHECK(part.admits(kNow + Span::ms(6000), 0));
   // A part that never holds a wide one is left to the narrow ones.
-  Part small = partOf(3, {{}, {}});
+  BudgetPart small = partOf(3, {{}, {}});
   CHECK(fill(small, 0) == 3);
 }
 
 TEST_CASE("beside a service of more worth that is asked for, room for one of it is left") {
-  Part part({{1, 1, Span::ms(10000)}, {2, 5, Span::ms(10000)}});
+  BudgetPart part({{1, 1, Span::ms(10000)}, {2, 5, Span::ms(10000)}});
   part.set(Bounds{20, {}});
   part.asked(kNow, 1);
   CHECK(fill(part, 0) == 17);  // two for the widest, two for the dearer: 4 are left when the 17th is let in
@@ -200,28 +200,28 @@
 }
 
 TEST_CASE("who makes way: of least worth first, of these the newest, and no more than is wanted") {
-  const std::vector<Kind> kinds{{1, 2, Span::ms(1000)}, {4, 1, Span::ms(1000)}};
-  const std::vector<Standing> standing{
+  const std::vector<ServiceProfile> kinds{{1, 2, Span::ms(1000)}, {4, 1, Span::ms(1000)}};
+  const std::vector<EstablishedSession> standing{
       {0, Instant::ms(1)}, {1, Instant::ms(2)}, {1, Instant::ms(3)}, {0, Instant::ms(4)}};
-  CHECK(whoMakesWay(kinds, standing, 0).empty());
-  CHECK(whoMakesWay(kinds, standing, 1) == std::vector<std::size_t>{2});
-  CHECK(whoMakesWay(kinds, standing, 5) == std::vector<std::size_t>{2, 1});
-  CHECK(whoMakesWay(kinds, standing, 9) == std::vector<std::size_t>{2, 1, 3});
-  CHECK(whoMakesWay(kinds, standing, 100).size() == 4);
+  CHECK(selectSessionsToEnd(kinds, standing, 0).empty());
+  CHECK(selectSessionsToEnd(kinds, standing, 1) == std::vector<std::size_t>{2});
+  CHECK(selectSessionsToEnd(kinds, standing, 5) == std::vector<std::size_t>{2, 1});
+  CHECK(selectSessionsToEnd(kinds, standing, 9) == std::vector<std::size_t>{2, 1, 3});
+  CHECK(selectSessionsToEnd(kinds, standing, 100).size() == 4);
 }
 
 TEST_CASE("a lowered budget admits nothing until enough has ended, and says how much is over") {
-  Part part = partOf(24, {{}, {}});
-  for (int i = 0; i < 5; ++i) part.take(1);
+  BudgetPart part = partOf(24, {{}, {}});
+  for (int i = 0; i < 5; ++i) part.seize(1);
   part.set(Bounds{8, {}});
-  CHECK(part.over() == 12);
-  CHECK(part.left() == 0);
+  CHECK(part.excess() == 12);
+  CHECK(part.free() == 0);
   CHECK_FALSE(part.admits(kNow, 0));
   for (int i = 0; i < 4; ++i) part.release(1);
-  CHECK(part.over() == 0);
+  CHECK(part.excess() == 0);
   CHECK(part.admits(kNow, 1));
   part.set(std::nullopt);
-  CHECK_FALSE(part.bounded());
+  CHECK_FALSE(part.isBounded());
   CHECK(part.admits(kNow, 1));
 }
 
@@ -304,8 +304,8 @@
   for (const auto& user : top) {
     named.insert(user.name);
     CHECK(user.sum >= exact[user.name]);
-    CHECK(user.sum - user.slack <= exact[user.name]);
-    CHECK(user.slack <= all / 128);
+    CHECK(user.sum - user.maxOverestimate <= exact[user.name]);
+    CHECK(user.maxOverestimate <= all / 128);
   }
   int heavy = 0;
   for (const auto& [user, sum] : exact) {
@@ -318,18 +318,18 @@
 
 TEST_CASE("what a far end saw of an office that was started anew counts once, from then on") {
   PeerUsage peerUsage;
-  const Key key{0, 1, 0, LegKind::direct};
-  peerUsage.of(3, 100, key).invites += 5;
+  const UsageKey key{0, 1, 0, LegKind::direct};
+  peerUsage.totalsFor(3, 100, key).invites += 5;
   CHECK(peerUsage.inherited().empty());
-  peerUsage.started(3, 100);
+  peerUsage.recordIncarnation(3, 100);
   CHECK(peerUsage.inherited().empty());
-  peerUsage.started(3, 200);
+  peerUsage.recordIncarnation(3, 200);
   CHECK(peerUsage.inherited().at(key).invites == 5);
   // A NEW of the earlier start that was late on its way is in nobody else's account.
-  peerUsage.of(3, 100, key).invites += 1;
-  peerUsage.of(3, 200, key).invites += 7;
+  peerUsage.totalsFor(3, 100, key).invites += 1;
+  peerUsage.totalsFor(3, 200, key).invites += 7;
   CHECK(peerUsage.inherited().at(key).invites == 6);
-  peerUsage.started(3, 300);
+  peerUsage.recordIncarnation(3, 300);
   CHECK(peerUsage.inherited().at(key).invites == 13);
 }
 
