--- a/src/zones/budget.cpp
+++ b/src/zones/budget.cpp
@@ -7,56 +7,58 @@
 namespace thistlefold::zones {
 namespace {
 
-// A wider or dearer service is reckoned with so long after it was last asked for: some of these make up a mean hold of
-// the shortest services, and what is kept for one that has gone lies idle no longer.
-constexpr Span kOfLate = Span::ms(5000);
+// A wider or higher-value service has circuits reserved for this long after it was last requested. The mean hold time
+// of the shortest services is a small multiple of this, and circuits do not stay idle for longer once requests have
+// ceased.
+constexpr Span kRecentRequestWindow = Span::ms(5000);
 
-// Below this many widths a part is too small to keep one free for the dearer.
-constexpr int kKeepsFrom = 4;
+// A part of fewer than this many of the widest sessions is too small to reserve circuits for a higher-value service.
+constexpr int kMinWidthsForReserve = 4;
 
-// Asks a second are measured over about this: long against single asks, short against a period.
-constexpr double kFadeSeconds = 20;
+// Time constant of the measured request rates: long compared with the time between requests, short compared with a
+// period.
+constexpr double kRateDecaySeconds = 20;
 
 }  // namespace
 
-std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& kinds,
-                                             const std::vector<EstablishedSession>& standing, int circuits) {
-  std::vector<std::size_t> order(standing.size());
+std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& services,
+                                             const std::vector<EstablishedSession>& sessions, int circuits) {
+  std::vector<std::size_t> order(sessions.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    const double x = kinds[standing[a].service].value, y = kinds[standing[b].service].value;
-    return x != y ? x < y : standing[a].since > standing[b].since;
+    const double valueA = services[sessions[a].service].value, valueB = services[sessions[b].service].value;
+    return valueA != valueB ? valueA < valueB : sessions[a].since > sessions[b].since;
   });
   std::size_t count = 0;
-  while (count < order.size() && circuits > 0) circuits -= kinds[standing[order[count++]].service].width;
+  while (count < order.size() && circuits > 0) circuits -= services[sessions[order[count++]].service].width;
   order.resize(count);
   return order;
 }
 
-void BudgetPart::set(const std::optional<Bounds>& bounds) {
+void BudgetPart::setBounds(const std::optional<Bounds>& bounds) {
   bounds_ = bounds;
-  if (bounds_) bounds_->classes.resize(kinds_.size());
+  if (bounds_) bounds_->classes.resize(services_.size());
 }
 
 int BudgetPart::held() const { return std::accumulate(held_.begin(), held_.end(), 0); }
 int BudgetPart::free() const { return std::max(0, circuits() - held()); }
 int BudgetPart::excess() const { return bounds_ ? std::max(0, held() - circuits()) : 0; }
 
-int BudgetPart::widest(Instant now) const {
+int BudgetPart::widestRequested(Instant now) const {
   int widest = 1;
-  for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    if (now - askedAt_[i] < kOfLate) widest = std::max(widest, kinds_[i].width);
+  for (std::size_t i = 0; i < services_.size(); ++i) {
+    if (now - requestedAt_[i] < kRecentRequestWindow) widest = std::max(widest, services_[i].width);
   }
   return widest;
 }
 
 Span BudgetPart::timeUntilWithinBounds() const {
-  // Of h sessions that each end after a mean hold, the next ends after hold / h on average.
+  // Of n sessions with the same mean hold time, the next one ends after hold / n on average.
   double sessions = 0, hold = 0;
-  for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    const double of = static_cast<double>(held_[i]) / kinds_[i].width;
-    sessions += of;
-    hold += of * kinds_[i].meanHold.ms();
+  for (std::size_t i = 0; i < services_.size(); ++i) {
+    const double count = static_cast<double>(held_[i]) / services_[i].width;
+    sessions += count;
+    hold += count * services_[i].meanHold.ms();
   }
   if (excess() == 0 || sessions <= 0) return Span::none();
   hold /= sessions;
@@ -69,35 +71,38 @@
 
 bool BudgetPart::admits(Instant now, std::size_t service) const {
   if (!bounds_) return true;
-  const int width = kinds_[service].width;
-  const ClassShare& own = bounds_->classes[service];
-  if (own.most && held_[service] + width > *own.most) return false;
-  int kept = 0;
+  const int width = services_[service].width;
+  const ClassShare& limits = bounds_->classes[service];
+  if (limits.most && held_[service] + width > *limits.most) return false;
+  int reserved = 0;
   for (std::size_t i = 0; i < held_.size(); ++i) {
-    if (i != service) kept += std::max(0, bounds_->classes[i].guaranteed - held_[i]);
+    if (i != service) reserved += std::max(0, bounds_->classes[i].guaranteed - held_[i]);
   }
-  const int room = circuits() - held() - kept;
-  if (width > room) return false;
-  // Within its own guarantee nobody else has a claim.
-  if (held_[service] + width <= own.guaranteed) return true;
-  // The widest that could still be let in at all; a part below its width is left to the narrow ones.
-  int widest = width, dearer = 0;
-  for (std::size_t i = 0; i < kinds_.size(); ++i) {
+  const int available = circuits() - held() - reserved;
+  if (width > available) return false;
+  // No other service has a claim on circuits within this service's guarantee.
+  if (held_[service] + width <= limits.guaranteed) return true;
+  // Considers services that could be admitted at all; a part smaller than a session's width is left to narrower ones.
+  int widest = width, higherValueWidth = 0;
+  for (std::size_t i = 0; i < services_.size(); ++i) {
     const std::optional<int>& most = bounds_->classes[i].most;
-    if (kinds_[i].width > circuits() || (most && kinds_[i].width > *most) || now - askedAt_[i] >= kOfLate) continue;
-    widest = std::max(widest, kinds_[i].width);
-    if (kinds_[i].value > kinds_[service].value) dearer = std::max(dearer, kinds_[i].width);
+    if (services_[i].width > circuits() || (most && services_[i].width > *most) ||
+        now - requestedAt_[i] >= kRecentRequestWindow)
+      continue;
+    widest = std::max(widest, services_[i].width);
+    if (services_[i].value > services_[service].value)
+      higherValueWidth = std::max(higherValueWidth, services_[i].width);
   }
-  if (circuits() < kKeepsFrom * widest) dearer = 0;
-  return room >= widest + dearer;
+  if (circuits() < kMinWidthsForReserve * widest) higherValueWidth = 0;
+  return available >= widest + higherValueWidth;
 }
 
-Allowance::Allowance(std::vector<ServiceProfile> kinds)
-    : kinds_(std::move(kinds)), held_(kinds_.size()), asks_(kinds_.size()) {}
+Allowance::Allowance(std::vector<ServiceProfile> services)
+    : services_(std::move(services)), held_(services_.size()), requestRates_(services_.size()) {}
 
-void Allowance::set(Instant now, std::optional<double> circuitSeconds, Span period) {
+void Allowance::setLimit(Instant now, std::optional<double> circuitSeconds, Span period) {
   accrue(now);
-  whole_ = circuitSeconds;
+  limit_ = circuitSeconds;
   period_ = period;
 }
 
@@ -107,55 +112,55 @@
 }
 
 void Allowance::accrue(Instant now) {
-  if (now <= settledAt_) return;
+  if (now <= accruedAt_) return;
   double circuits = 0;
   for (const int held : held_) circuits += held;
-  const Span past = now - settledAt_;
+  const Span elapsed = now - accruedAt_;
   const Span thisPeriod = period_ - untilNextPeriod(now);
-  // What was used before this period began counts no longer.
-  if (past >= thisPeriod && past > Span::none()) used_ = 0;
-  used_ += circuits * std::min(past, thisPeriod).ms() / 1000;
-  settledAt_ = now;
+  // Use before the start of this period does not count any more.
+  if (elapsed >= thisPeriod && elapsed > Span::none()) used_ = 0;
+  used_ += circuits * std::min(elapsed, thisPeriod).ms() / 1000;
+  accruedAt_ = now;
 }
 
-void Allowance::asked(Instant now, std::size_t service) {
-  const double seconds = std::max(0.0, (now - fadedAt_).ms() / 1000);
-  const double keep = std::exp(-seconds / kFadeSeconds);
-  for (double& asks : asks_) asks *= keep;
-  fadedAt_ = std::max(now, fadedAt_);
-  asks_[service] += 1 / kFadeSeconds;
+void Allowance::recordRequest(Instant now, std::size_t service) {
+  const double seconds = std::max(0.0, (now - ratesDecayedAt_).ms() / 1000);
+  const double decay = std::exp(-seconds / kRateDecaySeconds);
+  for (double& rate : requestRates_) rate *= decay;
+  ratesDecayedAt_ = std::max(now, ratesDecayedAt_);
+  requestRates_[service] += 1 / kRateDecaySeconds;
 }
 
 double Allowance::cost(Instant now, std::size_t service) const {
-  return kinds_[service].width * std::min(kinds_[service].meanHold, untilNextPeriod(now)).ms() / 1000;
+  return services_[service].width * std::min(services_[service].meanHold, untilNextPeriod(now)).ms() / 1000;
 }
 
 bool Allowance::admits(Instant now, std::size_t service) {
-  if (!whole_) return true;
+  if (!limit_) return true;
   accrue(now);
-  // Those that stand go on for a mean hold, however long they have stood.
-  double left = *whole_ - used_;
-  for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    left -= held_[i] * std::min(kinds_[i].meanHold, untilNextPeriod(now)).ms() / 1000;
+  // Established sessions are expected to last for another mean hold time, whatever their age.
+  double left = *limit_ - used_;
+  for (std::size_t i = 0; i < services_.size(); ++i) {
+    left -= held_[i] * std::min(services_[i].meanHold, untilNextPeriod(now)).ms() / 1000;
   }
   left -= cost(now, service);
   if (left < 0) return false;
-  const double keep = std::exp(-std::max(0.0, (now - fadedAt_).ms() / 1000) / kFadeSeconds);
-  for (std::size_t i = 0; i < kinds_.size(); ++i) {
-    if (kinds_[i].value <= kinds_[service].value) continue;
-    const double full = kinds_[i].width * kinds_[i].meanHold.ms() / 1000;
-    left -= asks_[i] * keep * full * untilNextPeriod(now).ms() / 1000;
+  const double decay = std::exp(-std::max(0.0, (now - ratesDecayedAt_).ms() / 1000) / kRateDecaySeconds);
+  for (std::size_t i = 0; i < services_.size(); ++i) {
+    if (services_[i].value <= services_[service].value) continue;
+    const double full = services_[i].width * services_[i].meanHold.ms() / 1000;
+    left -= requestRates_[i] * decay * full * untilNextPeriod(now).ms() / 1000;
   }
   return left >= 0;
 }
 
 void Allowance::seize(Instant now, std::size_t service) {
   accrue(now);
-  held_[service] += kinds_[service].width;
+  held_[service] += services_[service].width;
 }
 void Allowance::release(Instant now, std::size_t service) {
   accrue(now);
-  held_[service] -= kinds_[service].width;
+  held_[service] -= services_[service].width;
 }
 
 double Allowance::used(Instant now) {
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-// How many circuits from one zone to another may be held at once, and who may take the next ones of one office's
-// part. Decides; no I/O, instants are passed in. docs/zones.md weighs the ways to divide a budget and proves the bound.
+// Budgets of circuits from one zone to another, and the admission of sessions to one office's part of a budget.
+// Decision core without I/O; every instant is passed in. docs/zones.md compares the ways to divide a budget and proves
+// the bound.
 
 #include <optional>
 #include <vector>
@@ -10,128 +11,146 @@
 
 namespace thistlefold::zones {
 
-/// What one service has of a budget: `guaranteed` circuits are kept for it, more than `most` it never gets.
+/// The limits of one service within a budget: `guaranteed` circuits are reserved for it, and it never holds more than
+/// `most` (no limit if not set).
 struct ClassShare {
   int guaranteed = 0;
   std::optional<int> most;
 };
 
-/// How a budget is divided among the offices of its zone.
+/// How a budget is divided among the offices of its zone: `equal` parts, or equal parts of which offices lend to each
+/// other (`lending`).
 enum class Division { equal, lending };
 
-/// What becomes of sessions that stand above a budget that was lowered, or on circuits that were lent and not left.
+/// What happens to established sessions above a budget that was lowered, or on circuits whose loan has lapsed: they
+/// `keep` their circuits until they end by themselves, or the offices `end` them.
 enum class OverrunPolicy { keep, end };
 
-/// A budget of the whole fleet for one direction between two zones.
+/// The whole fleet's budget of circuits for one direction between two zones.
 struct Budget {
-  int from = 0, to = 0;  // zones
+  int from = 0, to = 0;  // indexes of zones
   int circuits = 0;
   std::vector<ClassShare> classes;  // by service
   Division division = Division::equal;
   OverrunPolicy overrun = OverrunPolicy::keep;
-  std::optional<double> circuitSeconds;  // that may be used in each period
+  std::optional<double> circuitSeconds;  // limit of use in each period; not set: no limit
   Span period = Span::ms(3600000);
 };
 
-/// The `index`th of `count` equal parts of `whole`, to the unit: the parts of all indexes add up to `whole`.
+/// Part number `index` of `count` equal parts of `whole`, in whole units: the parts of all indexes add up to `whole`.
 inline int equalPart(int whole, int index, int count) { return whole / count + (index < whole % count ? 1 : 0); }
 
-/// What a budget has to know of a service.
+/// What a budget needs to know about a service.
 struct ServiceProfile {
-  int width = 1;     // circuits of a session
+  int width = 1;     // circuits per session
   double value = 1;  // value of a circuit-second
   Span meanHold = Span::ms(10000);
 };
 
-/// A session that stands over a budget.
+/// An established session that holds circuits of a budget.
 struct EstablishedSession {
   std::size_t service = 0;
   Instant since;
 };
-/// Which of these are to end so that `circuits` come free: of least worth first, of these the newest. Indexes.
-std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& kinds,
-                                             const std::vector<EstablishedSession>& standing, int circuits);
+/// Selects the sessions to end so that at least `circuits` become free: those of the lowest-value service first, of
+/// these the newest. Returns indexes into `sessions`, in that order; all of them if they do not suffice.
+std::vector<std::size_t> selectSessionsToEnd(const std::vector<ServiceProfile>& services,
+                                             const std::vector<EstablishedSession>& sessions, int circuits);
 
-/// What one office may hold at the moment.
+/// What one office may hold at present.
 struct Bounds {
   int circuits = 0;
   std::vector<ClassShare> classes;  // by service
 };
 
-/// Who may take the next circuits of what one office has of a budget.
+/// One office's part of a budget: counts the circuits that its sessions hold and decides which service may take the
+/// next ones.
 class BudgetPart {
  public:
-  explicit BudgetPart(std::vector<ServiceProfile> kinds)
-      : kinds_(std::move(kinds)), held_(kinds_.size()), askedAt_(kinds_.size(), Instant::longAgo()) {}
+  explicit BudgetPart(std::vector<ServiceProfile> services)
+      : services_(std::move(services)), held_(services_.size()), requestedAt_(services_.size(), Instant::longAgo()) {}
 
-  /// Other bounds; what is held stays held, also above them. Nothing: no budget any more.
-  void set(const std::optional<Bounds>& bounds);
+  /// Replaces the bounds. Circuits that are held stay held, also above the bounds. `std::nullopt`: no budget, so no
+  /// bound.
+  void setBounds(const std::optional<Bounds>& bounds);
   bool isBounded() const { return bounds_.has_value(); }
 
-  /// A session of this service wants to cross, whether or not it may.
-  void asked(Instant now, std::size_t service) { askedAt_[service] = now; }
+  /// Records that a session of this service has been requested, whether or not it is admitted.
+  void recordRequest(Instant now, std::size_t service) { requestedAt_[service] = now; }
 
-  /// Whether a session of this service may take its circuits. Not while that would leave less than the guarantees
-  /// that others have not reached, nor past its most. And not while fewer are left than the widest service takes, so
-  /// that narrow sessions don't nibble away what a wide one needs: all widths are refused in the same states. And
-  /// not while fewer are left beside that than a service of more worth takes. Both reckon with services that were
-  /// asked for of late only.
+  /// Whether a session of this service may take its circuits. It may not exceed the service's `most`, nor use circuits
+  /// that other services need to reach their guarantees. Above its own guarantee it is also refused while fewer
+  /// circuits are free than the widest service takes, so that narrow sessions do not use up what a wide one needs: all
+  /// widths are refused in the same states. In addition to those, the circuits of one session of a higher-value
+  /// service must stay free. Both rules consider only services that were requested recently.
   bool admits(Instant now, std::size_t service) const;
-  void seize(std::size_t service) { held_[service] += kinds_[service].width; }
-  void release(std::size_t service) { held_[service] -= kinds_[service].width; }
+  /// Takes or returns the circuits of one session. seize() does not check the bounds.
+  void seize(std::size_t service) { held_[service] += services_[service].width; }
+  void release(std::size_t service) { held_[service] -= services_[service].width; }
 
-  const std::vector<ServiceProfile>& services() const { return kinds_; }
+  const std::vector<ServiceProfile>& services() const { return services_; }
   const std::optional<Bounds>& bounds() const { return bounds_; }
+  /// Circuits of the bounds; 0 without bounds.
   int circuits() const { return bounds_ ? bounds_->circuits : 0; }
+  /// Circuits that sessions hold: of all services, and of one.
   int held() const;
   int heldBy(std::size_t service) const { return held_[service]; }
+  /// Circuits of the bounds that are not held; 0 if there are none.
   int free() const;
-  /// Held above what it may hold.
+  /// Circuits held above the bounds.
   int excess() const;
-  /// How long, on average, until nothing is over by itself: sessions end as their services' mean hold says.
+  /// Expected time until excess() is 0 without any action, if sessions end according to their services' mean hold time.
   Span timeUntilWithinBounds() const;
-  /// Circuits of the widest service that was asked for of late.
-  int widest(Instant now) const;
+  /// Circuits per session of the widest service that was requested recently; at least 1.
+  int widestRequested(Instant now) const;
 
  private:
-  std::vector<ServiceProfile> kinds_;
+  std::vector<ServiceProfile> services_;
   std::vector<int> held_;
-  std::vector<Instant> askedAt_;
+  std::vector<Instant> requestedAt_;
   std::optional<Bounds> bounds_;
 };
 
-/// How much of a period's circuit-seconds is left, and for whom. One office's part.
+/// One office's part of the circuit-seconds that a budget allows in each period: accounts for their use and decides
+/// which service may use what is left. Periods are aligned to the zero of the clock.
 class Allowance {
  public:
-  explicit Allowance(std::vector<ServiceProfile> kinds);
-
-  /// Nothing: no such bound. What was used in the running period stays used.
-  void set(Instant now, std::optional<double> circuitSeconds, Span period);
-  bool isBounded() const { return whole_.has_value(); }
-  void asked(Instant now, std::size_t service);
-  /// Whether enough is left for such a session of mean hold, beside those that stand, and beside what services of
-  /// more worth will ask for until the period ends, as measured of late.
+  explicit Allowance(std::vector<ServiceProfile> services);
+
+  /// Sets the limit and the length of the period; `std::nullopt`: no limit. What was used in the current period stays
+  /// accounted for.
+  void setLimit(Instant now, std::optional<double> circuitSeconds, Span period);
+  bool isBounded() const { return limit_.has_value(); }
+  /// Records that a session of this service has been requested, whether or not it is admitted.
+  void recordRequest(Instant now, std::size_t service);
+  /// Whether enough is left for a session of this service with the mean hold time, after the expected use by
+  /// established sessions and, at the recently measured request rates, by higher-value services until the period ends.
   bool admits(Instant now, std::size_t service);
+  /// A session begins or ends.
   void seize(Instant now, std::size_t service);
   void release(Instant now, std::size_t service);
 
-  /// Circuit-seconds of the running period.
+  /// Circuit-seconds used in the current period.
   double used(Instant now);
-  double limit() const { return whole_.value_or(0); }
+  /// Circuit-seconds per period; 0 without a limit.
+  double limit() const { return limit_.value_or(0); }
+  /// Time until the next period begins.
   Span untilNextPeriod(Instant now) const;
 
  private:
+  /// Brings the account of used circuit-seconds up to `now`.
   void accrue(Instant now);
+  /// Expected circuit-seconds of a new session within the current period.
   double cost(Instant now, std::size_t service) const;
 
-  std::vector<ServiceProfile> kinds_;
+  std::vector<ServiceProfile> services_;
   std::vector<int> held_;
-  std::vector<double> asks_;  // a second, fading
-  std::optional<double> whole_;
+  std::vector<double> requestRates_;  // by service: requests per second, decaying exponentially
+  std::optional<double> limit_;
   Span period_ = Span::ms(3600000);
   double used_ = 0;
-  Instant settledAt_;
-  Instant fadedAt_;
+  Instant accruedAt_;
+  Instant ratesDecayedAt_;
 };
 
 }  // namespace thistlefold::zones
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -1,12 +1,14 @@
 #pragma once
 
-// One office's part of a budget between zones, and what the offices of its zone lend each other of theirs. Decides;
-// free of I/O, instants are passed in. docs/zones.md has the proof that no two offices ever count on one circuit.
+// One office's part of a budget between zones, and the leases of circuits between the offices of its zone. This is the
+// decision core: it does no I/O, and every instant is passed in. docs/zones.md proves that no two offices ever count on
+// the same circuit.
 //
-// Each office owns an equal part for good, and may lend of it to offices that want more. What is lent counts for the
-// borrower alone, from the moment the lender has decided so, until the borrower has said that it holds it no longer
-// or has been silent for long enough. Nothing depends on clocks that agree: each end measures with its own, and the
-// lender's wait begins after the borrower's. Only owned circuits are lent, never borrowed ones.
+// Each office permanently owns an equal part of the budget and may lend from it to offices that want more. Lent units
+// count for the borrower alone, from the moment the lender grants them until the borrower reports that it no longer
+// holds them, or until the borrower has been silent for long enough. Clocks need not agree: each end measures with its
+// own clock, and the lender's waiting time begins after the borrower's. Only owned circuits are lent, never borrowed
+// ones.
 
 #include <cstdint>
 #include <memory>
@@ -17,169 +19,183 @@
 
 namespace thistlefold::zones {
 
-/// Counts of what is lent. First circuits; then, by service, the right to go up to the most part; then, by service,
-/// guaranteed circuits.
+/// Counts of what can be lent, for n services 1 + 2n entries: first circuits; then, by service, the right to use
+/// circuits up to the service's `most`; then, by service, guaranteed circuits.
 using Units = std::vector<int>;
 
-/// What one office of a zone tells another about one budget. Each word holds the whole state between the two, so
-/// that any may be lost, doubled or overtaken by a later one.
+/// What one office of a zone reports to another about one budget. Each message holds the whole state between the two
+/// offices, so that any message may be lost, duplicated or overtaken by a later one.
 struct LeaseMessage {
-  int from = 0;            // place of the sender
-  int zone = 0;            // where the budget leads to
-  std::uint64_t mark = 0;  // when the sender was started, on its own clock
-  std::int64_t sent = 0;   // microseconds on the sender's clock; grows from word to word
-  std::int64_t heard = 0;  // `sent` of the newest word that the sender has taken from the receiver
-  // As a lender
-  std::uint64_t serial = 0;  // grows with each grant; 0: does not know yet what it has lent
-  Units granted;             // in all, under this serial
-  Units spare;               // could be lent beside
-  Units recalled;            // of what is granted, wanted back
-  bool pressed = false;      // another asks for more than there is: whoever can do with less had better
-  // As a borrower
-  std::uint64_t seen = 0;  // the newest serial that the sender has taken
-  Units holds;             // of what was granted under it
-  Units asks;              // wants to hold in all
+  int from = 0;                   ///< Place of the sender.
+  int zone = 0;                   ///< Zone that the budget leads to.
+  std::uint64_t incarnation = 0;  ///< When the sender's process started, in microseconds on its own clock.
+  std::int64_t sentAt = 0;        ///< Microseconds on the sender's clock; grows from message to message.
+  std::int64_t echoedSentAt = 0;  ///< `sentAt` of the newest message that the sender has received from the receiver.
+  // The sender as a lender.
+  std::uint64_t grantSerial = 0;  ///< Grows with each grant; 0: the sender does not know yet what it has lent.
+  Units granted;                  ///< Total granted to the receiver under `grantSerial`.
+  Units spare;                    ///< Could be lent in addition.
+  Units recalled;                 ///< Part of `granted` that the lender wants back.
+  bool contended = false;         ///< Another borrower asks for more than can be lent: return what can be spared.
+  // The sender as a borrower.
+  std::uint64_t seenSerial = 0;  ///< Newest `grantSerial` that the sender has received.
+  Units borrowed;                ///< What the sender holds of the grant with that serial.
+  Units requested;               ///< Total that the sender wants to hold.
 };
 
-/// Spans of lending.
+/// Intervals and time limits of lending.
 struct LeaseTiming {
-  Span word = Span::ms(1000);    // a word goes to each peer so often ...
-  Span soonest = Span::ms(50);   // ... and no sooner than this after the last, if there is need
-  Span term = Span::ms(10000);   // a borrower takes nothing new on a loan when its lender has been silent so long
-  Span demand = Span::ms(3000);  // what is needed is the most that was held within this
-  /// After a start nothing is let in for so long: mates ask each other for a sign of life each second, and cut what
-  /// stood over an office that was started anew.
-  Span settle = Span::ms(1200);
-  double drift = 0.01;  // clocks of two offices run alike to within this share
-  /// After the term a lender waits this long before it writes a silent borrower's loan off. Sessions that stood on
-  /// the loan have mostly ended by then: three mean holds of the longest service leave 5% of them.
-  Span writtenOffAfter = Span::ms(30000);
+  Span messageInterval = Span::ms(1000);   ///< Each peer is sent a message at least this often.
+  Span minMessageInterval = Span::ms(50);  ///< Messages to one peer are at least this far apart.
+  Span leaseTerm = Span::ms(10000);        ///< After this much silence of the lender no new session uses its loan.
+  Span demandWindow = Span::ms(3000);      ///< Demand is the maximum held within this window.
+  /// No session is admitted for this long after a start: peers send each other heartbeats every second, and drop the
+  /// sessions that were established over an office that has restarted.
+  Span startupDelay = Span::ms(1200);
+  double maxClockDrift = 0.01;  ///< Rates of two offices' clocks differ by no more than this share.
+  /// After the lease term a lender waits this long before it writes off a silent borrower's loan. By then most
+  /// sessions that were established on the loan have ended: after three mean hold times of the longest service 5% of
+  /// them are left, and the constructor raises the delay to that span.
+  Span writeOffDelay = Span::ms(30000);
 };
 
-/// One office's part of one budget.
+/// One office's part of one budget: what it owns, less what it has lent, plus what it has borrowed.
 class LeasedBudget {
  public:
-  /// `place`: of this office; `zonePeers`: places of all offices of its zone, this one among them, in the fleet
-  /// file's order.
-  LeasedBudget(std::vector<ServiceProfile> kinds, int place, std::vector<int> zonePeers, int towards, Instant now,
-               LeaseTiming spans = {});
+  /// `place`: of this office. `zonePeers`: places of all offices of its zone, this office included, in the order of
+  /// the fleet file. `towards`: the zone that the budget leads to. `now` serves as this office's incarnation.
+  LeasedBudget(std::vector<ServiceProfile> services, int place, std::vector<int> zonePeers, int towards, Instant now,
+               LeaseTiming timing = {});
 
-  /// From now on. What stands, stands; what is lent is wanted back where the part has become less.
+  /// Replaces the budget; `std::nullopt` removes it. Established sessions stay; loans are recalled where the owned part
+  /// has become smaller.
   void setBudget(Instant now, const std::optional<Budget>& budget);
-  /// Called after set() when the office has just been started. The own part is not used until what stood over an
-  /// office that went before this one is over, and, with lending, until all mates have told what they hold of it or
-  /// a term has passed.
+  /// To be called after setBudget() when the office has just started. The owned part is not used until the sessions of
+  /// an earlier incarnation of this office are over and, with lending, until all peers have reported what they hold of
+  /// it or a lease term has passed.
   void beginStartupWait(Instant now);
   bool isBounded() const { return budget_.has_value(); }
   const std::optional<Budget>& budget() const { return budget_; }
 
+  /// Whether a session of this service may use circuits of the budget now. Also records that it was requested.
   bool admits(Instant now, std::size_t service);
+  /// Takes the circuits of one session of this service, which admits() has allowed.
   void seize(Instant now, std::size_t service);
+  /// Returns the circuits of one session of this service.
   void release(Instant now, std::size_t service);
-  /// A session was refused for want of room; with asked(), what is wanted.
+  /// Records that a session was refused for lack of circuits, which raises what is requested from lenders.
   void recordRefusal(Instant now, std::size_t service);
 
-  /// A word that came in. False: from no mate, or malformed; nothing was changed.
-  bool receive(Instant now, const LeaseMessage& word);
-  /// What is to be said now, and to whom. Also settles what has lapsed.
+  /// Handles a message. Returns false, with nothing changed, if it is not from a peer or is malformed.
+  bool receive(Instant now, const LeaseMessage& message);
+  /// Handles everything that has become due, such as leases that have lapsed, and returns the messages to send now,
+  /// each with the place of its receiver.
   std::vector<std::pair<int, LeaseMessage>> process(Instant now);
+  /// When process() is to be called next.
   Instant nextDeadline() const;
 
-  /// For the module and reports.
+  /// For the controller and reports.
   const BudgetPart& part() const { return part_; }
   Allowance& allowance() { return allowance_; }
+  /// Circuits that this office owns, whether or not they are lent.
   int owned() const { return own_.empty() ? 0 : own_[0]; }
+  /// Circuits lent to peers, without those written off, as of the last process().
   int lent() const {
-    addUp(ranAt_);
-    return sums_.lent[0];
+    updateTotals(lastProcessedAt_);
+    return totals_.lent[0];
   }
+  /// Circuits borrowed on leases that are valid at `now`.
   int borrowed(Instant now) const;
+  /// Circuits lent to peers that have been silent for too long, as of the last process().
   int writtenOff() const {
-    addUp(ranAt_);
-    return sums_.writtenOff[0];
+    updateTotals(lastProcessedAt_);
+    return totals_.writtenOff[0];
   }
-  bool inStartupWait() const { return waiting_; }
-  /// Circuits of standing sessions that are to be ended now, by the operator's word.
+  bool inStartupWait() const { return inStartupWait_; }
+  /// Circuits of established sessions that are to be ended now, as the budget's overrun policy demands.
   int circuitsToEnd(Instant now) const;
-  /// True once after the bounds have changed by themselves: the groups are to be shown anew.
-  bool consumeBoundsChanged() { return std::exchange(changed_, false); }
+  /// True once after the bounds of part() have changed: the caller then passes the groups' free circuits to the
+  /// controller again.
+  bool consumeBoundsChanged() { return std::exchange(boundsChanged_, false); }
 
  private:
+  /// Lending between this office and one other office of the zone.
   struct ZonePeer {
     int place = 0;
-    std::uint64_t mark = 0;
-    Instant heardAt = Instant::longAgo();
-    std::int64_t sent = 0;  // of the newest word taken from it
-    bool known = false;     // heard of since this office was started
-    // It as a borrower
-    std::uint64_t serial = 0;
+    std::uint64_t incarnation = 0;
+    Instant lastReceivedAt = Instant::longAgo();
+    std::int64_t newestSentAt = 0;  // `sentAt` of the newest message received from it
+    bool isKnown = false;           // has reported what it holds since this office started
+    // The peer as a borrower.
+    std::uint64_t grantSerial = 0;
     Units lent;
-    Instant lentUntil;  // nothing new is let in on it after this
-    bool writtenOff = false;
-    Units back;          // of it, wanted back
-    bool unmet = false;  // asked for more than could be lent
-    Units ghost;         // lent to the one that went before it, until its sessions are sure to be over
-    Instant ghostUntil;
-    // It as a lender
-    std::uint64_t seen = 0;
+    Instant lentUntil;  // the peer admits nothing new on the loan after this
+    bool isWrittenOff = false;
+    Units recalledFromPeer;        // part of `lent` that this office wants back
+    bool hasUnmetRequest = false;  // has requested more than could be lent
+    Units lentToPrevious;          // lent to its earlier incarnation; kept until those sessions are certainly over
+    Instant lentToPreviousUntil;
+    // The peer as a lender.
+    std::uint64_t seenSerial = 0;
     Units loan;
     Instant loanUntil = Instant::longAgo();
-    Units spare, recalled, ask;
-    bool pressed = false;
-    Instant spokenAt = Instant::longAgo();
-    bool wanted = false;  // a word to it is wanted soon
+    Units offered, recalledByPeer, requested;
+    bool contended = false;
+    Instant lastSentAt = Instant::longAgo();
+    bool messageDue = false;  // a message to it is to be sent as soon as the minimum interval allows
   };
 
-  std::size_t size() const { return 1 + 2 * kinds_.size(); }
-  Units none() const { return Units(size(), 0); }
-  bool talks() const;
-  void endWait(Instant now);
-  void bounds(Instant now);
+  std::size_t size() const { return 1 + 2 * services_.size(); }
+  Units noUnits() const { return Units(size(), 0); }
+  bool hasPeersToMessage() const;
+  void updateStartupWait(Instant now);
+  void updateBounds(Instant now);
   void returnSurplus(Instant now);
-  void ask(Instant now);
-  void grant(Instant now, ZonePeer& mate, const Units& asks);
-  void wantBack(Instant now);
-  void addUp(Instant now) const;
-  int ownLeft(std::size_t unit) const { return waiting_ ? 0 : own_[unit] - sums_.lent[unit]; }
+  void updateRequests(Instant now);
+  void grant(Instant now, ZonePeer& peer, const Units& requested);
+  void updateRecalls(Instant now);
+  void updateTotals(Instant now) const;
+  int ownRemaining(std::size_t unit) const { return inStartupWait_ ? 0 : own_[unit] - totals_.lent[unit]; }
   int capacity(Instant now, std::size_t unit) const;
-  int needed(Instant now, std::size_t unit, bool close) const;
-  int spareOf(Instant now, std::size_t unit) const;
-  int heldOf(std::size_t unit) const;
-  void count(Instant now);
-  LeaseMessage wordTo(Instant now, ZonePeer& mate);
+  int needed(Instant now, std::size_t unit, bool minimumOnly) const;
+  int lendable(Instant now, std::size_t unit) const;
+  int heldUnits(std::size_t unit) const;
+  void recordDemand(Instant now);
+  LeaseMessage makeMessage(Instant now, ZonePeer& peer);
 
-  std::vector<ServiceProfile> kinds_;
+  std::vector<ServiceProfile> services_;
   int place_, towards_;
-  std::size_t index_ = 0, count_ = 1;
-  LeaseTiming spans_;
-  std::uint64_t mark_;
-  Instant started_;
+  std::size_t indexInZone_ = 0, zoneSize_ = 1;
+  LeaseTiming timing_;
+  std::uint64_t incarnation_;
+  Instant startedAt_;
   std::optional<Budget> budget_;
   BudgetPart part_;
   Allowance allowance_;
   Units own_;
   std::vector<ZonePeer> peers_;
-  bool waiting_ = false;
-  bool changed_ = false;
-  // Demand: the most held, and how often there was no room, in the running third of the span and the two before it.
-  struct Lately {
+  bool inStartupWait_ = false;
+  bool boundsChanged_ = false;
+  // Demand in a third of the demand window: the maximum held, and the units that were refused.
+  struct DemandPeriod {
     std::vector<int> most;
     std::vector<int> refused;
   };
-  std::vector<Lately> lately_;
-  std::int64_t third_ = 0;
-  std::int64_t lastSent_ = 0;
-  Instant overSince_ = Instant::never();
-  struct Sums {
+  std::vector<DemandPeriod> recentDemand_;  // the current third of the window, then the two before it
+  std::int64_t currentThird_ = 0;           // number of the current third since the clock's zero
+  std::int64_t lastSentAt_ = 0;             // `sentAt` of the last messages, in microseconds
+  Instant overCapacitySince_ = Instant::never();
+  // Sums over all peers, kept until a change or until the next loan lapses.
+  struct Totals {
     Units lent, borrowed, recalled, writtenOff;
   };
-  mutable Sums sums_;
-  mutable bool stale_ = true;
-  mutable Instant lapses_ = Instant::never();
-  bool pressed_ = false;                 // some mate's asking is unmet
-  Instant settleAt_ = Instant::never();  // words came in that speak() has not acted on
+  mutable Totals totals_;
+  mutable bool totalsStale_ = true;
+  mutable Instant totalsValidUntil_ = Instant::never();
+  bool hasUnmetRequests_ = false;                // some peer's request is unmet
+  Instant unprocessedSince_ = Instant::never();  // messages were received that process() has not acted on yet
   Instant loweredAt_ = Instant::never();
-  Instant ranAt_ = Instant::longAgo();
+  Instant lastProcessedAt_ = Instant::longAgo();
 };
 
 }  // namespace thistlefold::zones
--- a/src/zones/lease_message.hpp
+++ b/src/zones/lease_message.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// What offices of a zone tell each other about budgets, as datagrams of text lines (docs/wire.md). No I/O.
+// Encoding of the messages that offices of a zone exchange about budgets: datagrams of text lines (docs/wire.md). No
+// I/O.
 
 #include <cstdint>
 #include <optional>
@@ -11,10 +12,12 @@
 
 namespace thistlefold::zones {
 
+/// First line of every lease message.
 inline constexpr std::string_view kLeaseMessageHeader = "thistlefold lease 1\n";
 
-std::string encode(const LeaseMessage& word);
-/// Nothing if the datagram is no word, was cut short, or a line of it can't be read.
+/// The datagram for `message`.
+std::string encode(const LeaseMessage& message);
+/// The message in `datagram`; `std::nullopt` if it is not a lease message, is truncated, or has an unreadable line.
 std::optional<LeaseMessage> decodeLeaseMessage(std::span<const std::uint8_t> datagram);
 
 }  // namespace thistlefold::zones
--- a/src/zones/ledger.cpp
+++ b/src/zones/ledger.cpp
@@ -22,8 +22,8 @@
   return *this;
 }
 
-// Each change goes to all levels at once. Rolling seconds up into minutes when they close would save two additions and
-// lose what a level already dropped.
+// Each change is added to all levels at once. Adding seconds to their minute only when it is complete would save two
+// additions but lose seconds that their ring has already overwritten.
 template <typename Change>
 void UsageCell::add(std::uint64_t at, Change change) {
   change(total_);
@@ -34,36 +34,36 @@
 
 void UsageCell::accrue(Instant now) {
   const std::uint64_t until = microseconds(now);
-  // A clock that went back adds nothing and takes nothing away.
-  while (settledAt_ < until) {
-    // Nothing is held: nothing to add, whatever the time.
-    const std::uint64_t end = held_ == 0 ? until : std::min(until, (settledAt_ / kSecond + 1) * kSecond);
+  // A clock that goes back changes nothing.
+  while (accruedAt_ < until) {
+    // If nothing is held there is nothing to add, so that idle time is skipped in one step.
+    const std::uint64_t end = held_ == 0 ? until : std::min(until, (accruedAt_ / kSecond + 1) * kSecond);
     const std::uint64_t circuits = static_cast<std::uint64_t>(held_);
     if (held_ > 0)
-      add(settledAt_, [&](UsageTotals& sums) { sums.circuitMicroseconds += circuits * (end - settledAt_); });
-    settledAt_ = end;
+      add(accruedAt_, [&](UsageTotals& totals) { totals.circuitMicroseconds += circuits * (end - accruedAt_); });
+    accruedAt_ = end;
   }
 }
 
 void UsageCell::invited(Instant now, int circuits) {
   accrue(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.invites; });
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.invites; });
   held_ += circuits;
 }
 
 void UsageCell::established(Instant now) {
   accrue(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.established; });
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.established; });
 }
 
 void UsageCell::dropped(Instant now) {
   accrue(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.dropped; });
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.dropped; });
 }
 
 void UsageCell::refused(Instant now) {
   accrue(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.refused; });
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.refused; });
 }
 
 void UsageCell::released(Instant now, int circuits) {
@@ -72,9 +72,9 @@
 }
 
 UsageCell& UsageLedger::cell(const UsageKey& key) {
-  auto& one = cells_[key];
-  if (one == nullptr) one = std::make_unique<UsageCell>();
-  return *one;
+  auto& entry = cells_[key];
+  if (entry == nullptr) entry = std::make_unique<UsageCell>();
+  return *entry;
 }
 
 void UsageLedger::accrue(Instant now) {
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The account of circuits that cross zones, kept by the office that sends the leg. No I/O; instants are passed in.
-// Each leg is counted once in a fleet, by its sender: a two-leg session that crosses twice is two legs.
+// Usage accounting of circuits between zones, kept by the office that sends the leg. No I/O; instants are passed in.
+// Each leg is counted once in a fleet, by its sender: a two-leg session that crosses zones twice has two legs.
 
 #include <algorithm>
 #include <array>
@@ -13,26 +13,29 @@
 
 namespace thistlefold::zones {
 
-/// What a leg is to its session.
+/// The role of a leg in its session: the only leg (`direct`), the `first` leg to a tandem, or the `second` leg from a
+/// tandem.
 enum class LegKind : std::uint8_t { direct, first, second };
 
-/// Sums; all whole numbers, so that sums over any parts agree to the unit.
+/// Usage sums. All are integers, so that sums over parts add up exactly.
 struct UsageTotals {
   std::uint64_t invites = 0;
   std::uint64_t established = 0;
   std::uint64_t dropped = 0;
-  std::uint64_t refused = 0;              // for want of budget; nothing was sent
-  std::uint64_t circuitMicroseconds = 0;  // circuits held times how long
+  std::uint64_t refused = 0;              // for lack of budget; no INVITE was sent
+  std::uint64_t circuitMicroseconds = 0;  // circuits held times the time they were held
 
   UsageTotals& operator+=(const UsageTotals& other);
   friend bool operator==(const UsageTotals&, const UsageTotals&) = default;
 };
 
-/// The last N spans of one length, in a ring. What has left the ring is gone from it, not from the totals.
+/// Ring buffer of the sums of the last N time intervals of one length. Older intervals are overwritten; a cell's totals
+/// still include them.
 template <std::size_t N>
 class Ring {
  public:
-  /// The bucket of that number (time divided by the span's length); null for one that has left the ring.
+  /// The bucket of interval `number` (time divided by the interval's length), which is created if it is newer than all
+  /// others; null if it has been overwritten. The pointer is valid until the next call.
   UsageTotals* at(std::uint64_t number) {
     if (number > newest_) {
       const std::uint64_t step = number - newest_;
@@ -41,6 +44,7 @@
     }
     return number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
+  /// The same without creating a bucket: null if the interval is not in the ring.
   const UsageTotals* find(std::uint64_t number) const {
     return number > newest_ || number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
@@ -51,16 +55,21 @@
   std::uint64_t newest_ = 0;
 };
 
-/// The account of one kind of leg. Constant memory, some 23 kB: five minutes by second, four hours by minute, eight
-/// days by hour.
+/// The usage of one kind of leg. Takes constant memory, about 23 kB: five minutes by second, four hours by minute and
+/// eight days by hour.
 class UsageCell {
  public:
+  /// An INVITE was sent for a leg that holds `circuits` until released().
   void invited(Instant now, int circuits);
+  /// The session of a leg was established.
   void established(Instant now);
+  /// An established session was dropped.
   void dropped(Instant now);
+  /// A session was refused for lack of budget; no INVITE was sent.
   void refused(Instant now);
+  /// A leg has released its `circuits`.
   void released(Instant now, int circuits);
-  /// Brings the circuit time up to now. Called by all of the above; by a reader before it reads.
+  /// Adds the circuit time up to `now`. All functions above call it; a reader calls it before it reads.
   void accrue(Instant now);
 
   const UsageTotals& total() const { return total_; }
@@ -77,23 +86,25 @@
   Ring<300> seconds_;
   Ring<240> minutes_;
   Ring<192> hours_;
-  std::uint64_t settledAt_ = 0;  // microseconds
+  std::uint64_t accruedAt_ = 0;  // microseconds
   int held_ = 0;
 };
 
+/// Identifies a cell of the ledger.
 struct UsageKey {
-  int from = 0, to = 0;  // zones
+  int from = 0, to = 0;  // indexes of zones
   int service = 0;
   LegKind legKind = LegKind::direct;
   friend auto operator<=>(const UsageKey&, const UsageKey&) = default;
 };
 
-/// All cells of an office. Cells are made when first used and stay where they are; there are at most zones x services
-/// x 3 of them, since an office sends from one zone.
+/// All usage cells of an office. Cells are created at first use and keep their address for the ledger's lifetime. There
+/// are at most zones x services x 3 of them, since an office sends from one zone.
 class UsageLedger {
  public:
   UsageCell& cell(const UsageKey& key);
   const std::map<UsageKey, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
+  /// Adds the circuit time of all cells up to `now`.
   void accrue(Instant now);
 
  private:
--- a/src/zones/peer_usage.cpp
+++ b/src/zones/peer_usage.cpp
@@ -2,19 +2,19 @@
 
 namespace thistlefold::zones {
 
-void PeerUsage::recordIncarnation(int office, std::uint64_t mark) {
+void PeerUsage::recordIncarnation(int office, std::uint64_t incarnation) {
   UsageReplica& replica = replicas_[office];
-  // A word of an earlier start that was late on its way changes nothing.
-  if (mark <= replica.mark) return;
-  for (const auto& [key, sums] : replica.sums) inherited_[key] += sums;
-  replica.sums.clear();
-  replica.mark = mark;
+  // A delayed frame of an earlier incarnation changes nothing.
+  if (incarnation <= replica.incarnation) return;
+  for (const auto& [key, totals] : replica.totals) inherited_[key] += totals;
+  replica.totals.clear();
+  replica.incarnation = incarnation;
 }
 
-UsageTotals& PeerUsage::totalsFor(int office, std::uint64_t mark, const UsageKey& key) {
-  recordIncarnation(office, mark);
+UsageTotals& PeerUsage::totalsFor(int office, std::uint64_t incarnation, const UsageKey& key) {
+  recordIncarnation(office, incarnation);
   UsageReplica& replica = replicas_[office];
-  return mark == replica.mark ? replica.sums[key] : inherited_[key];
+  return incarnation == replica.incarnation ? replica.totals[key] : inherited_[key];
 }
 
 }  // namespace thistlefold::zones
--- a/src/zones/peer_usage.hpp
+++ b/src/zones/peer_usage.hpp
@@ -1,10 +1,11 @@
 #pragma once
 
-// What other offices sent here across zones, kept for the case that they forget it. No I/O.
+// Replicas of other offices' usage across zones, kept in case those offices lose their own account. No I/O.
 //
-// An office's account is its own word, and is gone with it when it is killed. What it sent was seen by the far ends:
-// each keeps sums of what came from each start of another office. Those of the running start are in that office's own
-// account and stay aside; those of earlier starts are in nobody else's any more and count for the fleet.
+// An office keeps its usage account in memory and loses it when it is killed. The far ends have seen the legs that it
+// sent: each keeps sums of what it received from each incarnation of another office. The sums of the current
+// incarnation are in that office's own account and are not reported here; those of earlier incarnations exist nowhere
+// else and count for the fleet.
 
 #include <cstdint>
 #include <map>
@@ -13,22 +14,25 @@
 
 namespace thistlefold::zones {
 
+/// Usage of legs that this office has received across zones, by sending office.
 class PeerUsage {
  public:
-  /// Something was heard from that office, which was started at `mark` by its own clock. What an earlier start of it
-  /// sent is from now on accounted for here.
-  void recordIncarnation(int office, std::uint64_t mark);
-  /// The sums for a leg that came in from `office`, as it was started at `mark`.
-  UsageTotals& totalsFor(int office, std::uint64_t mark, const UsageKey& key);
-  /// What offices sent here before they were started anew.
+  /// Records that `office` (a place) runs as `incarnation`, the start of its process by its own clock. The usage of
+  /// earlier incarnations is reported by inherited() from now on. An older incarnation than the known one is ignored.
+  void recordIncarnation(int office, std::uint64_t incarnation);
+  /// The sums for a leg received from that incarnation of `office`; calls recordIncarnation(). The reference stays
+  /// valid until a newer incarnation is recorded.
+  UsageTotals& totalsFor(int office, std::uint64_t incarnation, const UsageKey& key);
+  /// Usage that earlier incarnations of other offices sent here.
   const std::map<UsageKey, UsageTotals>& inherited() const { return inherited_; }
 
  private:
   struct UsageReplica {
-    std::uint64_t mark = 0;
-    std::map<UsageKey, UsageTotals> sums;
+    std::uint64_t incarnation = 0;
+    std::map<UsageKey, UsageTotals> totals;
   };
-  std::map<int, UsageReplica> replicas_;  // by place; as many cells each as the office's own account towards here
+  std::map<int, UsageReplica>
+      replicas_;  // by place; each has as many cells as the office's own account has towards this zone
   std::map<UsageKey, UsageTotals> inherited_;
 };
 
--- a/src/zones/top_users.hpp
+++ b/src/zones/top_users.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Who uses most, in constant memory: the Space-Saving sketch (Metwally, Agrawal, El Abbadi, ICDT 2005). No I/O.
+// The heaviest users in constant memory: the Space-Saving sketch (Metwally, Agrawal, El Abbadi, ICDT 2005). No I/O.
 
 #include <algorithm>
 #include <cstdint>
@@ -11,42 +11,45 @@
 
 namespace thistlefold::zones {
 
-/// Sums by user, of the users that use most. A user's sum is never told too small, and too large by at most `slack`,
-/// which is at most all that was added over the room of the sketch. Whoever used more than that is in it.
+/// Sums by user for the heaviest users. A reported sum is never too small, and too large by at most `maxOverestimate`,
+/// which is at most total() / capacity(). Every user with a larger sum than that quotient is in the sketch.
 class TopUsers {
  public:
   struct User {
     std::string name;
     std::uint64_t sum = 0;
-    std::uint64_t maxOverestimate = 0;  // of it, may be another's who had to make room
+    std::uint64_t maxOverestimate = 0;  // part of `sum` that may belong to users that were evicted
   };
 
-  explicit TopUsers(std::size_t room) : room_(room) { users_.reserve(room); }
+  /// `maxUsers`: the number of users that are kept; greater than 0.
+  explicit TopUsers(std::size_t maxUsers) : capacity_(maxUsers) { users_.reserve(maxUsers); }
 
+  /// Adds `amount` to the user's sum. If the user is unknown and the sketch is full, it replaces the user with the
+  /// smallest sum.
   void add(std::string_view name, std::uint64_t amount) {
-    all_ += amount;
-    const auto known = at_.find(std::string(name));
-    if (known != at_.end()) {
+    total_ += amount;
+    const auto known = indexOf_.find(std::string(name));
+    if (known != indexOf_.end()) {
       users_[known->second].sum += amount;
       return;
     }
-    if (users_.size() < room_) {
-      at_.emplace(name, users_.size());
+    if (users_.size() < capacity_) {
+      indexOf_.emplace(name, users_.size());
       users_.push_back({std::string(name), amount, 0});
       return;
     }
-    // The one that used least makes room. Looked for one by one: with a hundred or so that is quicker than keeping an
-    // order that nearly every addition changes (measured in bench/).
+    // The user with the smallest sum is evicted. For about a hundred users a linear search is faster than keeping an
+    // order that nearly every addition changes; bench/zones_bench.cpp compares the two.
     const auto least =
         std::min_element(users_.begin(), users_.end(), [](const User& a, const User& b) { return a.sum < b.sum; });
-    at_.erase(least->name);
-    at_.emplace(name, static_cast<std::size_t>(least - users_.begin()));
+    indexOf_.erase(least->name);
+    indexOf_.emplace(name, static_cast<std::size_t>(least - users_.begin()));
     least->name = name;
     least->maxOverestimate = least->sum;
     least->sum += amount;
   }
 
-  /// Most first.
+  /// The `count` users with the largest sums, in descending order.
   std::vector<User> top(std::size_t count) const {
     std::vector<User> sorted = users_;
     std::sort(sorted.begin(), sorted.end(),
@@ -54,14 +57,15 @@
     if (sorted.size() > count) sorted.resize(count);
     return sorted;
   }
-  std::uint64_t all() const { return all_; }
-  std::size_t capacity() const { return room_; }
+  /// Sum of all amounts added.
+  std::uint64_t total() const { return total_; }
+  std::size_t capacity() const { return capacity_; }
 
  private:
-  std::size_t room_;
-  std::uint64_t all_ = 0;
+  std::size_t capacity_;
+  std::uint64_t total_ = 0;
   std::vector<User> users_;
-  std::unordered_map<std::string, std::size_t> at_;
+  std::unordered_map<std::string, std::size_t> indexOf_;
 };
 
 }  // namespace thistlefold::zones
--- a/tests/program/lease.cpp
+++ b/tests/program/lease.cpp
@@ -301,16 +301,16 @@
   LeaseMessage word;
   word.from = 3;
   word.zone = 1;
-  word.mark = 77;
-  word.sent = 123456789;
-  word.heard = 5;
-  word.serial = 78;
-  word.seen = 2;
+  word.incarnation = 77;
+  word.sentAt = 123456789;
+  word.echoedSentAt = 5;
+  word.grantSerial = 78;
+  word.seenSerial = 2;
   word.granted = {1, 2, 3, 4, 5};
   word.spare = {0, 0, 1, 0, 0};
   word.recalled = {1, 0, 0, 0, 0};
-  word.holds = {9, 8, 7, 6, 5};
-  word.asks = {10, 8, 7, 6, 5};
+  word.borrowed = {9, 8, 7, 6, 5};
+  word.requested = {10, 8, 7, 6, 5};
   const std::string text = encode(word);
   const auto bytes = [&](std::size_t count) {
     return std::span(reinterpret_cast<const std::uint8_t*>(text.data()), count);
@@ -318,7 +318,7 @@
   const auto back = decodeLeaseMessage(bytes(text.size()));
   REQUIRE(back);
   CHECK(encode(*back) == text);
-  CHECK(back->holds == word.holds);
+  CHECK(back->borrowed == word.borrowed);
   for (std::size_t count = 0; count < text.size(); ++count) CHECK_FALSE(decodeLeaseMessage(bytes(count)));
   std::string wrong = text;
   wrong.replace(wrong.find("granted 1"), 9, "granted x");
@@ -328,29 +328,29 @@
 TEST_CASE("words that do not fit the fleet are not taken") {
   Pair pair;
   LeaseMessage word = pair.last[0];
-  word.sent += 1000000;
-  word.asks.pop_back();
+  word.sentAt += 1000000;
+  word.requested.pop_back();
   CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
   word = pair.last[0];
   word.from = 7;
   CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
   word = pair.last[0];
-  word.asks[0] = -4;
+  word.requested[0] = -4;
   CHECK_FALSE(pair.pools[1]->receive(pair.now, word));
 }
 
 TEST_CASE("circuit-seconds of a period: the dearer service gets what is left, and the next period begins anew") {
   Allowance allowance(kKinds);
   const Instant begin = Instant::ms(600000);
-  allowance.set(begin, 100.0, Span::ms(60000));
+  allowance.setLimit(begin, 100.0, Span::ms(60000));
   CHECK(allowance.untilNextPeriod(begin) == Span::ms(60000));
   // The dear one is asked for once a second: ten circuit-seconds each, more than there is.
   Instant now = begin;
   int dear = 0, cheap = 0;
   std::vector<Instant> ends;
   for (int i = 0; i < 59; ++i, now = now + Span::ms(1000)) {
-    allowance.asked(now, 0);
-    if (i > 2) allowance.asked(now, 1);
+    allowance.recordRequest(now, 0);
+    if (i > 2) allowance.recordRequest(now, 1);
     if (i > 2 && allowance.admits(now, 1)) ++cheap;
     if (allowance.admits(now, 0)) {
       allowance.seize(now, 0);
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -138,8 +138,8 @@
 
 BudgetPart partOf(int circuits, std::vector<ClassShare> classes) {
   BudgetPart part({{1, 1, Span::ms(10000)}, {4, 1, Span::ms(10000)}});
-  part.set(Bounds{circuits, std::move(classes)});
-  for (std::size_t service : {0u, 1u}) part.asked(kNow, service);
+  part.setBounds(Bounds{circuits, std::move(classes)});
+  for (std::size_t service : {0u, 1u}) part.recordRequest(kNow, service);
   return part;
 }
 
@@ -189,8 +189,8 @@
 
 TEST_CASE("beside a service of more worth that is asked for, room for one of it is left") {
   BudgetPart part({{1, 1, Span::ms(10000)}, {2, 5, Span::ms(10000)}});
-  part.set(Bounds{20, {}});
-  part.asked(kNow, 1);
+  part.setBounds(Bounds{20, {}});
+  part.recordRequest(kNow, 1);
   CHECK(fill(part, 0) == 17);  // two for the widest, two for the dearer: 4 are left when the 17th is let in
   CHECK(fill(part, 1) == 1);
   part.release(0);
@@ -213,14 +213,14 @@
 TEST_CASE("a lowered budget admits nothing until enough has ended, and says how much is over") {
   BudgetPart part = partOf(24, {{}, {}});
   for (int i = 0; i < 5; ++i) part.seize(1);
-  part.set(Bounds{8, {}});
+  part.setBounds(Bounds{8, {}});
   CHECK(part.excess() == 12);
   CHECK(part.free() == 0);
   CHECK_FALSE(part.admits(kNow, 0));
   for (int i = 0; i < 4; ++i) part.release(1);
   CHECK(part.excess() == 0);
   CHECK(part.admits(kNow, 1));
-  part.set(std::nullopt);
+  part.setBounds(std::nullopt);
   CHECK_FALSE(part.isBounded());
   CHECK(part.admits(kNow, 1));
 }
@@ -297,7 +297,7 @@
     all += amount;
   }
   REQUIRE(exact.size() > 5000);
-  CHECK(sketch.all() == all);
+  CHECK(sketch.total() == total);
   const auto top = sketch.top(128);
   CHECK(top.size() == 128);
   std::set<std::string> named;
