--- a/src/dimension/advice.cpp
+++ b/src/dimension/advice.cpp
@@ -10,21 +10,23 @@
 namespace thistlefold::dimension {
 namespace {
 
-// Working a mesh out takes time as the cube of its places. So many tries that 95 exchanges are planned in seconds, and
-// in small fleets every group can be tried singly.
-constexpr double kMostWork = 1e7;
-constexpr int kMostTries = 400;
+// Evaluating a mesh takes time proportional to the cube of the number of its places. These limits allow 95 exchanges to
+// be planned in seconds, and every group of a small fleet to be tried separately.
+constexpr double kMaxWork = 1e7;
+constexpr int kMaxEvaluations = 400;
 
-int tries(const Mesh& mesh) {
-  const double each = std::pow(static_cast<double>(mesh.places), 3) * static_cast<double>(mesh.services());
-  return static_cast<int>(std::clamp(kMostWork / each, 24.0, static_cast<double>(kMostTries)));
+int maxEvaluations(const Mesh& mesh) {
+  const double workPerEvaluation = std::pow(static_cast<double>(mesh.places), 3) * static_cast<double>(mesh.services());
+  return static_cast<int>(std::clamp(kMaxWork / workPerEvaluation, 24.0, static_cast<double>(kMaxEvaluations)));
 }
 
-int wholeModules(double circuits, int module) { return static_cast<int>(std::ceil(circuits / module - 1e-9)) * module; }
+int roundUpToModules(double circuits, int module) {
+  return static_cast<int>(std::ceil(circuits / module - 1e-9)) * module;
+}
 
-/// Both directions' loads of a group's pair, as streams.
-std::vector<Stream> direct(const Mesh& mesh, const MeshGroup& group) {
-  std::vector<Stream> streams;
+/// The loads of both directions between the two places of a group, as streams.
+std::vector<PoissonStream> directStreams(const Mesh& mesh, const MeshGroup& group) {
+  std::vector<PoissonStream> streams;
   for (std::size_t s = 0; s < mesh.services(); ++s) {
     streams.push_back(
         {mesh.loads[mesh.loadIndex(group.a, group.b, s)] + mesh.loads[mesh.loadIndex(group.b, group.a, s)],
@@ -33,172 +35,178 @@
   return streams;
 }
 
-int leastFor(const std::vector<Stream>& streams, const std::vector<double>& loss, const DimensioningTarget& wish) {
+int smallestSize(const std::vector<PoissonStream>& streams, const std::vector<double>& loss,
+                 const DimensioningTarget& target) {
   double load = 0;
-  for (const Stream& one : streams) load += one.load * one.width;
+  for (const PoissonStream& one : streams) load += one.load * one.width;
   if (load <= 0) return 0;
-  const auto enough = [&](int circuits) {
-    const auto lost = losses(streams, circuits);
+  const auto isEnough = [&](int circuits) {
+    const auto lost = streamLosses(streams, circuits);
     for (std::size_t s = 0; s < streams.size(); ++s) {
       if (streams[s].load > 0 && lost[s] > loss[s]) return false;
     }
     return true;
   };
-  int low = 0, high = wish.moduleSize;
-  while (high < wish.mostCircuits && !enough(high)) {
+  int low = 0, high = target.moduleSize;
+  while (high < target.maxCircuits && !isEnough(high)) {
     low = high;
-    high = std::min(wish.mostCircuits, high * 2);
+    high = std::min(target.maxCircuits, high * 2);
   }
-  while (high - low > wish.moduleSize) {
-    const int middle = low + (high - low) / 2 / wish.moduleSize * wish.moduleSize;
+  while (high - low > target.moduleSize) {
+    const int middle = low + (high - low) / 2 / target.moduleSize * target.moduleSize;
     if (middle == low) break;
-    (enough(middle) ? high : low) = middle;
+    (isEnough(middle) ? high : low) = middle;
   }
-  return std::min(wish.mostCircuits, wholeModules(high, wish.moduleSize));
+  return std::min(target.maxCircuits, roundUpToModules(high, target.moduleSize));
 }
 
-double priceOf(const Mesh& mesh) {
+double totalPrice(const Mesh& mesh) {
   return std::accumulate(mesh.groups.begin(), mesh.groups.end(), 0.0,
                          [](double sum, const MeshGroup& group) { return sum + group.price * group.circuits; });
 }
 
-/// By how much what is lost is above what is wished, all told; 0 when it is met.
-double above(const Mesh& mesh, const MeshLoss& loss, const DimensioningTarget& wish) {
+/// The sum over all services of the relative excess of the losses over their targets; 0 if all targets are met.
+double excessLoss(const Mesh& mesh, const MeshLoss& loss, const DimensioningTarget& target) {
   double sum = 0;
   for (std::size_t s = 0; s < mesh.services(); ++s) {
-    sum += std::max(0.0, loss.serviceLoss[s] - wish.loss[s]) / wish.loss[s];
-    sum += std::max(0.0, loss.worstPairLoss[s] - wish.pairFactor * wish.loss[s]) / wish.loss[s];
+    sum += std::max(0.0, loss.serviceLoss[s] - target.loss[s]) / target.loss[s];
+    sum += std::max(0.0, loss.worstPairLoss[s] - target.pairFactor * target.loss[s]) / target.loss[s];
   }
   return sum;
 }
 
 }  // namespace
 
-std::vector<int> sizeGroupsSeparately(const Mesh& mesh, const DimensioningTarget& wish) {
+std::vector<int> sizeGroupsSeparately(const Mesh& mesh, const DimensioningTarget& target) {
   std::vector<int> circuits;
-  for (const MeshGroup& group : mesh.groups) circuits.push_back(leastFor(direct(mesh, group), wish.loss, wish));
+  for (const MeshGroup& group : mesh.groups)
+    circuits.push_back(smallestSize(directStreams(mesh, group), target.loss, target));
   return circuits;
 }
 
-Advice advise(const Mesh& given, const DimensioningTarget& wish) {
+Advice advise(const Mesh& given, const DimensioningTarget& target) {
   Mesh mesh = given;
   Advice advice;
-  const int most = tries(mesh);
-  const auto workOut = [&](const MeshLoss* start) {
+  const int maxEvaluated = maxEvaluations(mesh);
+  const auto evaluate = [&](const MeshLoss* start) {
     ++advice.meshesEvaluated;
     return meshLoss(mesh, start);
   };
-  // Begin with what each group wants by itself and cut down from there: the tandems carry what overflows, so that most
-  // groups can do with less.
-  const std::vector<int> alone = sizeGroupsSeparately(mesh, wish);
-  for (std::size_t g = 0; g < mesh.groups.size(); ++g) mesh.groups[g].circuits = alone[g];
-  MeshLoss loss = workOut(nullptr);
-  // Where that is not enough (pairs without a group, whose sessions all go over tandems): to groups on their ways.
-  while (above(mesh, loss, wish) > 0 && advice.meshesEvaluated < most / 2) {
-    bool grown = false;
+  // Starts from the sizes of separate groups and reduces them: tandems carry the overflow, so that most groups need
+  // fewer circuits.
+  const std::vector<int> separateSizes = sizeGroupsSeparately(mesh, target);
+  for (std::size_t g = 0; g < mesh.groups.size(); ++g) mesh.groups[g].circuits = separateSizes[g];
+  MeshLoss loss = evaluate(nullptr);
+  // Where that is not enough, which is the case for pairs without a group whose sessions all go over tandems, the
+  // groups on the routes of these pairs are enlarged.
+  while (excessLoss(mesh, loss, target) > 0 && advice.meshesEvaluated < maxEvaluated / 2) {
+    bool anyGrown = false;
     for (int from = 0; from < mesh.places; ++from) {
       for (int to = 0; to < mesh.places; ++to) {
-        bool bad = false;
+        bool missesTarget = false;
         for (std::size_t s = 0; s < mesh.services() && from != to; ++s) {
-          const std::size_t at = mesh.loadIndex(from, to, s);
-          bad = bad || (mesh.loads[at] > 0 && loss.loss[at] > std::min(wish.loss[s], 1.0));
+          const std::size_t index = mesh.loadIndex(from, to, s);
+          missesTarget =
+              missesTarget || (mesh.loads[index] > 0 && loss.lossByLoad[index] > std::min(target.loss[s], 1.0));
         }
-        if (!bad) continue;
-        // The direct group if there may be one, else both legs of the tandem that costs least.
-        std::vector<MeshGroup*> ways;
+        if (!missesTarget) continue;
+        // Enlarges the direct group if there is one, otherwise both legs over the tandem with the lowest price.
+        std::vector<MeshGroup*> route;
         double best = 0;
         for (MeshGroup& one : mesh.groups) {
-          if ((one.a == from && one.b == to) || (one.a == to && one.b == from)) ways = {&one};
+          if ((one.a == from && one.b == to) || (one.a == to && one.b == from)) route = {&one};
         }
-        for (int over = 0; over < mesh.places && ways.size() != 1; ++over) {
-          MeshGroup* own = nullptr;
-          MeshGroup* far = nullptr;
+        for (int tandem = 0; tandem < mesh.places && route.size() != 1; ++tandem) {
+          MeshGroup* firstLeg = nullptr;
+          MeshGroup* secondLeg = nullptr;
           for (MeshGroup& one : mesh.groups) {
-            if ((one.a == from && one.b == over) || (one.a == over && one.b == from)) own = &one;
-            if ((one.a == over && one.b == to) || (one.a == to && one.b == over)) far = &one;
+            if ((one.a == from && one.b == tandem) || (one.a == tandem && one.b == from)) firstLeg = &one;
+            if ((one.a == tandem && one.b == to) || (one.a == to && one.b == tandem)) secondLeg = &one;
           }
-          if (own == nullptr || far == nullptr) continue;
-          if (ways.empty() || own->price + far->price < best) {
-            best = own->price + far->price;
-            ways = {own, far};
+          if (firstLeg == nullptr || secondLeg == nullptr) continue;
+          if (route.empty() || firstLeg->price + secondLeg->price < best) {
+            best = firstLeg->price + secondLeg->price;
+            route = {firstLeg, secondLeg};
           }
         }
-        for (MeshGroup* one : ways) {
-          // A tenth at a time, so that many pairs that share a leg do not each add a module to it.
-          const int more = wholeModules(std::max(1.0, 0.1 * one->circuits), wish.moduleSize);
-          if (one->circuits + more > wish.mostCircuits) continue;
-          one->circuits += more;
-          grown = true;
+        for (MeshGroup* one : route) {
+          // The group grows by a tenth at a time, so that many pairs that share a leg do not each add a module to it.
+          const int extra = roundUpToModules(std::max(1.0, 0.1 * one->circuits), target.moduleSize);
+          if (one->circuits + extra > target.maxCircuits) continue;
+          one->circuits += extra;
+          anyGrown = true;
         }
       }
     }
-    if (!grown) break;
-    loss = workOut(&loss);
+    if (!anyGrown) break;
+    loss = evaluate(&loss);
   }
-  advice.targetMet = above(mesh, loss, wish) <= 0;
-  // Cut down, in steps that halve, from all groups at once and, where that is too much, from each half of them, dearest
-  // first.
+  advice.targetMet = excessLoss(mesh, loss, target) <= 0;
+  // Reduces all groups at once in steps that are halved from round to round. Where a step is too large, it is tried on
+  // each half of the groups, the most expensive ones first.
   if (advice.targetMet) {
     std::vector<std::size_t> order(mesh.groups.size());
     std::iota(order.begin(), order.end(), 0);
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t x, std::size_t y) { return mesh.groups[x].price > mesh.groups[y].price; });
-    // A share of each group; at the end a single module.
-    for (double share = 0.25; advice.meshesEvaluated < most; share /= 2) {
+    // The step is a share of each group's circuits, in the last round a single module.
+    for (double share = 0.25; advice.meshesEvaluated < maxEvaluated; share /= 2) {
       const auto stepOf = [&](int circuits) {
-        return std::max(1, static_cast<int>(share * circuits) / wish.moduleSize) * wish.moduleSize;
+        return std::max(1, static_cast<int>(share * circuits) / target.moduleSize) * target.moduleSize;
       };
-      const bool single = std::all_of(mesh.groups.begin(), mesh.groups.end(),
-                                      [&](const MeshGroup& one) { return stepOf(one.circuits) == wish.moduleSize; });
+      const bool isSingleModule = std::all_of(mesh.groups.begin(), mesh.groups.end(), [&](const MeshGroup& one) {
+        return stepOf(one.circuits) == target.moduleSize;
+      });
       std::vector<std::vector<std::size_t>> batches{order};
-      // Some tries of each step are for halves; the last step has all that are left.
-      for (int left = single ? most : 8; !batches.empty() && advice.meshesEvaluated < most && left > 0; --left) {
+      // Each round has 8 evaluations; the last round may use all that are left.
+      for (int left = isSingleModule ? maxEvaluated : 8;
+           !batches.empty() && advice.meshesEvaluated < maxEvaluated && left > 0; --left) {
         const std::vector<std::size_t> batch = std::move(batches.back());
         batches.pop_back();
-        std::vector<std::size_t> cut;
-        std::vector<int> before;
+        std::vector<std::size_t> reduced;
+        std::vector<int> sizesBefore;
         for (const std::size_t g : batch) {
           int& circuits = mesh.groups[g].circuits;
           const int step = stepOf(circuits);
           if (circuits < step) continue;
-          cut.push_back(g);
-          before.push_back(circuits);
+          reduced.push_back(g);
+          sizesBefore.push_back(circuits);
           circuits -= step;
         }
-        if (cut.empty()) continue;
-        const MeshLoss less = workOut(&loss);
-        if (above(mesh, less, wish) <= 0 && less.converged) {
-          loss = less;
-          batches.push_back(cut);
+        if (reduced.empty()) continue;
+        const MeshLoss reducedLoss = evaluate(&loss);
+        if (excessLoss(mesh, reducedLoss, target) <= 0 && reducedLoss.converged) {
+          loss = reducedLoss;
+          batches.push_back(reduced);
           continue;
         }
-        for (std::size_t i = 0; i < cut.size(); ++i) mesh.groups[cut[i]].circuits = before[i];
-        if (cut.size() == 1) continue;
-        const auto half = static_cast<std::ptrdiff_t>(cut.size() / 2);
-        batches.emplace_back(cut.begin() + half, cut.end());
-        batches.emplace_back(cut.begin(), cut.begin() + half);
+        for (std::size_t i = 0; i < reduced.size(); ++i) mesh.groups[reduced[i]].circuits = sizesBefore[i];
+        if (reduced.size() == 1) continue;
+        const auto half = static_cast<std::ptrdiff_t>(reduced.size() / 2);
+        batches.emplace_back(reduced.begin() + half, reduced.end());
+        batches.emplace_back(reduced.begin(), reduced.begin() + half);
       }
-      if (single) break;
+      if (isSingleModule) break;
     }
   }
-  advice.expected = workOut(nullptr);
-  advice.targetMet = advice.targetMet && above(mesh, advice.expected, wish) <= 0;
-  advice.price = priceOf(mesh);
+  advice.expected = evaluate(nullptr);
+  advice.targetMet = advice.targetMet && excessLoss(mesh, advice.expected, target) <= 0;
+  advice.price = totalPrice(mesh);
   for (std::size_t g = 0; g < mesh.groups.size(); ++g) {
     const MeshGroup& group = mesh.groups[g];
     advice.circuits.push_back(group.circuits);
-    std::ostringstream why;
+    std::ostringstream explanation;
     double load = 0;
-    for (const Stream& one : direct(mesh, group)) load += one.load * one.width;
-    why.precision(3);
+    for (const PoissonStream& one : directStreams(mesh, group)) load += one.load * one.width;
+    explanation.precision(3);
     if (group.circuits == 0) {
-      why << (load > 0 ? "its " : "nothing is offered to it");
-      if (load > 0) why << load << " erlangs go over tandems at less";
+      explanation << (load > 0 ? "its " : "nothing is offered to it");
+      if (load > 0) explanation << load << " erlangs go over tandems at a lower price";
     } else {
-      why << load << " erlangs direct want " << alone[g] << " by themselves; "
-          << std::max(0.0, advice.expected.meanUse[g]) << " are in use, what overflows goes over tandems";
+      explanation << load << " erlangs of direct load need " << separateSizes[g] << " circuits without overflow; "
+                  << std::max(0.0, advice.expected.meanUse[g]) << " are in use, overflow goes over tandems";
     }
-    advice.explanations.push_back(why.str());
+    advice.explanations.push_back(explanation.str());
   }
   return advice;
 }
--- a/src/dimension/advice.hpp
+++ b/src/dimension/advice.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// How many circuits each group wants so that a fleet loses no more than is wished, at the least price that is found.
-// Pure.
+// Dimensioning: the number of circuits of each trunk group with which a fleet meets its loss targets at the lowest
+// price found. Pure functions.
 
 #include <string>
 #include <vector>
@@ -10,26 +10,29 @@
 
 namespace thistlefold::dimension {
 
+/// The requirements of a plan.
 struct DimensioningTarget {
-  std::vector<double> loss;  // by service: of all that is offered
-  double pairFactor = 3;     // no pair loses more than so many times that
-  int moduleSize = 1;        // circuits come in whole modules of so many
-  int mostCircuits = 10000;  // of a group
+  std::vector<double> loss;  // by service: highest acceptable share lost of all offered sessions; above 0
+  double pairFactor = 3;     // no pair of places loses more than this factor times `loss`
+  int moduleSize = 1;        // the circuits of a group are a multiple of this
+  int maxCircuits = 10000;   // per group
 };
 
+/// A plan: the sizes of all groups and what they achieve.
 struct Advice {
   std::vector<int> circuits;              // by group of the mesh
-  std::vector<std::string> explanations;  // by group, one line
-  MeshLoss expected;
-  double price = 0;
-  bool targetMet = false;   // else a group came to the most, or no group can help a pair
-  int meshesEvaluated = 0;  // meshes that were worked out
+  std::vector<std::string> explanations;  // by group: the reason for its size, in one line
+  MeshLoss expected;                      // losses of the planned mesh
+  double price = 0;                       // of all circuits
+  bool targetMet = false;   // if false, a group has reached `maxCircuits`, or no group can reduce the loss of a pair
+  int meshesEvaluated = 0;  // calls of meshLoss()
 };
 
-/// The plan for `mesh`, whose groups' circuits are taken as no more than where groups may be.
-Advice advise(const Mesh& mesh, const DimensioningTarget& wish);
+/// Plans the groups of `mesh`. Their present circuits are ignored: a group only says where circuits may be installed.
+Advice advise(const Mesh& mesh, const DimensioningTarget& target);
 
-/// The naive plan: each group by itself, for the direct loads of its pair, at the loss wished.
-std::vector<int> sizeGroupsSeparately(const Mesh& mesh, const DimensioningTarget& wish);
+/// The plan without overflow: each group is sized separately for the direct loads of its pair at the target loss.
+/// Returns circuits by group.
+std::vector<int> sizeGroupsSeparately(const Mesh& mesh, const DimensioningTarget& target);
 
 }  // namespace thistlefold::dimension
--- a/src/dimension/mesh.cpp
+++ b/src/dimension/mesh.cpp
@@ -8,12 +8,13 @@
 namespace thistlefold::dimension {
 namespace {
 
-// Half of each round's answer is kept, and more the longer it takes: groups that overflow into each other would else
-// swing, those of an overloaded mesh for good.
-constexpr int kMostRounds = 300;
-double keep(int round) { return round < 30 ? 0.5 : round < 100 ? 0.8 : 0.95; }
-constexpr double kSettled = 1e-4;
+// Damping: each round keeps this share of the previous blocking, more the longer the iteration takes. Otherwise groups
+// that overflow into each other would oscillate, and in an overloaded mesh would never converge.
+constexpr int kMaxRounds = 300;
+double dampingOf(int round) { return round < 30 ? 0.5 : round < 100 ? 0.8 : 0.95; }
+constexpr double kConvergenceLimit = 1e-4;
 
+/// The iteration towards the fixed point for one mesh.
 class FixedPoint {
  public:
   explicit FixedPoint(const Mesh& mesh)
@@ -21,136 +22,141 @@
     for (std::size_t g = 0; g < mesh.groups.size(); ++g) {
       const MeshGroup& group = mesh.groups[g];
       if (group.circuits <= 0) continue;
-      groupOf_[index(group.a, group.b)] = groupOf_[index(group.b, group.a)] = static_cast<int>(g);
+      groupOf_[pairIndex(group.a, group.b)] = groupOf_[pairIndex(group.b, group.a)] = static_cast<int>(g);
     }
-    direct_.assign(mesh.groups.size() * services_, 0.0);
-    tandem_.assign(mesh.groups.size() * services_, 0.0);
+    directBlocking_.assign(mesh.groups.size() * services_, 0.0);
+    tandemBlocking_.assign(mesh.groups.size() * services_, 0.0);
   }
 
   MeshLoss run(const MeshLoss* start) {
-    MeshLoss out;
-    if (start != nullptr && start->direct.size() == direct_.size()) direct_ = tandem_ = start->direct;
+    MeshLoss result;
+    if (start != nullptr && start->directBlocking.size() == directBlocking_.size())
+      directBlocking_ = tandemBlocking_ = start->directBlocking;
     std::vector<double> before;
-    for (out.rounds = 1; out.rounds <= kMostRounds; ++out.rounds) {
-      spread();
-      block(keep(out.rounds));
-      double moved = before.empty() ? 1 : 0;
-      for (std::size_t i = 0; i < before.size(); ++i) moved = std::max(moved, std::abs(loss_[i] - before[i]));
+    for (result.rounds = 1; result.rounds <= kMaxRounds; ++result.rounds) {
+      distributeLoads();
+      updateBlocking(dampingOf(result.rounds));
+      double change = before.empty() ? 1 : 0;
+      for (std::size_t i = 0; i < before.size(); ++i) change = std::max(change, std::abs(loss_[i] - before[i]));
       before = loss_;
-      if (moved < kSettled) {
-        out.converged = true;
+      if (change < kConvergenceLimit) {
+        result.converged = true;
         break;
       }
     }
-    tell(out);
-    return out;
+    fillResult(result);
+    return result;
   }
 
  private:
-  static double weight(double free) {
+  static double tandemWeight(double free) {
     const double square = free * free;
     return square * square * square * square;
   }
-  std::size_t index(int a, int b) const { return static_cast<std::size_t>(a * mesh_.places + b); }
-  int group(int a, int b) const { return groupOf_[index(a, b)]; }
+  std::size_t pairIndex(int a, int b) const { return static_cast<std::size_t>(a * mesh_.places + b); }
+  int group(int a, int b) const { return groupOf_[pairIndex(a, b)]; }
 
-  /// Where all loads go, under the blocking of the last round.
-  void spread() {
-    first_.assign(mesh_.groups.size() * services_, 0.0);
-    second_.assign(mesh_.groups.size() * services_, 0.0);
+  /// Distributes all loads over the groups, given the blocking of the last round.
+  void distributeLoads() {
+    directOffered_.assign(mesh_.groups.size() * services_, 0.0);
+    legCarried_.assign(mesh_.groups.size() * services_, 0.0);
     loss_.assign(mesh_.loads.size(), 0.0);
     struct Tandem {
-      int own, far;
-      double free;  // chance that both legs have room
+      int firstLeg, secondLeg;
+      double free;  // probability that both legs have free circuits
     };
     std::vector<Tandem> tandems;
     for (int from = 0; from < mesh_.places; ++from) {
       for (int to = 0; to < mesh_.places; ++to) {
         if (from == to) continue;
-        const int straight = group(from, to);
+        const int directGroup = group(from, to);
         for (std::size_t s = 0; s < services_; ++s) {
-          const std::size_t at = mesh_.loadIndex(from, to, s);
-          const double load = mesh_.loads[at];
+          const std::size_t index = mesh_.loadIndex(from, to, s);
+          const double load = mesh_.loads[index];
           if (load <= 0) continue;
-          double left = 1;
-          if (straight >= 0) {
-            first_[slot(straight, s)] += load;
-            left = direct_[slot(straight, s)];
+          double overflowShare = 1;
+          if (directGroup >= 0) {
+            directOffered_[slot(directGroup, s)] += load;
+            overflowShare = directBlocking_[slot(directGroup, s)];
           }
-          if (left > 1e-9) {
+          if (overflowShare > 1e-9) {
             tandems.clear();
-            for (int over = 0; over < mesh_.places; ++over) {
-              const int own = group(from, over), far = group(over, to);
-              if (over == from || over == to || own < 0 || far < 0) continue;
-              tandems.push_back({own, far, (1 - tandem_[slot(own, s)]) * (1 - tandem_[slot(far, s)])});
+            for (int tandem = 0; tandem < mesh_.places; ++tandem) {
+              const int firstLeg = group(from, tandem), secondLeg = group(tandem, to);
+              if (tandem == from || tandem == to || firstLeg < 0 || secondLeg < 0) continue;
+              tandems.push_back({firstLeg, secondLeg,
+                                 (1 - tandemBlocking_[slot(firstLeg, s)]) * (1 - tandemBlocking_[slot(secondLeg, s)])});
             }
-            // The cheapest first: the one with the most room. One whose own leg is full costs no INVITE.
+            // The tandem with the lowest price, which is the one with the most free circuits, is tried first. A tandem
+            // whose first leg is full costs no INVITE.
             const auto tries = std::min(tandems.size(), static_cast<std::size_t>(mesh_.maxInvites));
             std::partial_sort(tandems.begin(), tandems.begin() + static_cast<std::ptrdiff_t>(tries), tandems.end(),
                               [](const Tandem& x, const Tandem& y) { return x.free > y.free; });
-            double rest = left;
-            for (std::size_t k = 0; k < tries; ++k) rest *= 1 - tandems[k].free;
-            const double carried = left - rest;
-            // Whose price is lowest changes with each session, so those that are about as good carry about as much, and
-            // fuller ones soon far less. Smooth, or the rounds would swing.
+            double lost = overflowShare;
+            for (std::size_t k = 0; k < tries; ++k) lost *= 1 - tandems[k].free;
+            const double carried = overflowShare - lost;
+            // The lowest price changes with each session, so that tandems with similar occupancy carry similar loads
+            // and fuller ones carry far less. The weights are a smooth function, as otherwise the iteration would
+            // oscillate.
             double weights = 0;
-            for (const Tandem& one : tandems) weights += weight(one.free);
+            for (const Tandem& one : tandems) weights += tandemWeight(one.free);
             for (const Tandem& one : tandems) {
               if (weights <= 0) break;
-              const double here = load * carried * weight(one.free) / weights;
-              second_[slot(one.own, s)] += here;
-              second_[slot(one.far, s)] += here;
+              const double carriedHere = load * carried * tandemWeight(one.free) / weights;
+              legCarried_[slot(one.firstLeg, s)] += carriedHere;
+              legCarried_[slot(one.secondLeg, s)] += carriedHere;
             }
-            left -= carried;
+            overflowShare -= carried;
           }
-          loss_[at] = std::max(0.0, left);
+          loss_[index] = std::max(0.0, overflowShare);
         }
       }
     }
   }
 
-  /// How often each group has no room, for those that come direct and for those that stay under the cap.
-  void block(double keep) {
-    std::vector<Stream> streams;
+  /// Computes the blocking of each group for direct sessions and for two-leg sessions, which stay below the cap.
+  void updateBlocking(double damping) {
+    std::vector<PoissonStream> streams;
     for (std::size_t g = 0; g < mesh_.groups.size(); ++g) {
       const int circuits = mesh_.groups[g].circuits;
       if (circuits <= 0) continue;
-      const int kept = circuits - static_cast<int>(std::floor(kTandemCap * circuits + 1e-9));
+      const int reserved = circuits - static_cast<int>(std::floor(kTandemCap * circuits + 1e-9));
       streams.clear();
       for (std::size_t s = 0; s < services_; ++s) {
-        const std::size_t at = g * services_ + s;
-        streams.push_back({first_[at], mesh_.widths[s], 0});
-        // What is carried over it was offered to it so many times more.
-        streams.push_back({second_[at] / std::max(0.02, 1 - tandem_[at]), mesh_.widths[s], kept});
+        const std::size_t index = g * services_ + s;
+        streams.push_back({directOffered_[index], mesh_.widths[s], 0});
+        // The load carried over a group corresponds to an offered load that is larger by its blocking.
+        streams.push_back({legCarried_[index] / std::max(0.02, 1 - tandemBlocking_[index]), mesh_.widths[s], reserved});
       }
-      const std::vector<double> lost = losses(streams, circuits);
+      const std::vector<double> lost = streamLosses(streams, circuits);
       for (std::size_t s = 0; s < services_; ++s) {
-        const std::size_t at = g * services_ + s;
-        direct_[at] = keep * direct_[at] + (1 - keep) * lost[2 * s];
-        tandem_[at] = keep * tandem_[at] + (1 - keep) * lost[2 * s + 1];
+        const std::size_t index = g * services_ + s;
+        directBlocking_[index] = damping * directBlocking_[index] + (1 - damping) * lost[2 * s];
+        tandemBlocking_[index] = damping * tandemBlocking_[index] + (1 - damping) * lost[2 * s + 1];
       }
     }
   }
 
-  void tell(MeshLoss& out) const {
-    out.loss = loss_;
-    out.direct = direct_;
-    out.serviceLoss.assign(services_, 0.0);
-    out.worstPairLoss.assign(services_, 0.0);
+  void fillResult(MeshLoss& result) const {
+    result.lossByLoad = loss_;
+    result.directBlocking = directBlocking_;
+    result.serviceLoss.assign(services_, 0.0);
+    result.worstPairLoss.assign(services_, 0.0);
     std::vector<double> offered(services_, 0.0);
     for (std::size_t i = 0; i < loss_.size(); ++i) {
       const std::size_t s = i % services_;
       offered[s] += mesh_.loads[i];
-      out.serviceLoss[s] += mesh_.loads[i] * loss_[i];
-      if (mesh_.loads[i] > 0) out.worstPairLoss[s] = std::max(out.worstPairLoss[s], loss_[i]);
+      result.serviceLoss[s] += mesh_.loads[i] * loss_[i];
+      if (mesh_.loads[i] > 0) result.worstPairLoss[s] = std::max(result.worstPairLoss[s], loss_[i]);
     }
     for (std::size_t s = 0; s < services_; ++s)
-      out.serviceLoss[s] = offered[s] > 0 ? out.serviceLoss[s] / offered[s] : 0;
-    out.meanUse.assign(mesh_.groups.size(), 0.0);
+      result.serviceLoss[s] = offered[s] > 0 ? result.serviceLoss[s] / offered[s] : 0;
+    result.meanUse.assign(mesh_.groups.size(), 0.0);
     for (std::size_t g = 0; g < mesh_.groups.size(); ++g) {
       for (std::size_t s = 0; s < services_; ++s) {
-        const std::size_t at = g * services_ + s;
-        out.meanUse[g] += mesh_.widths[s] * (first_[at] * (1 - direct_[at]) + second_[at]);
+        const std::size_t index = g * services_ + s;
+        result.meanUse[g] +=
+            mesh_.widths[s] * (directOffered_[index] * (1 - directBlocking_[index]) + legCarried_[index]);
       }
     }
   }
@@ -162,8 +168,10 @@
   const Mesh& mesh_;
   std::size_t services_;
   std::vector<int> groupOf_;
-  std::vector<double> direct_, tandem_;  // blocking, by group and service
-  std::vector<double> first_, second_;   // offered direct; carried as a leg
+  // By group and service: the blocking of direct and of two-leg sessions.
+  std::vector<double> directBlocking_, tandemBlocking_;
+  // By group and service: the load offered directly, and the load carried as legs of two-leg sessions.
+  std::vector<double> directOffered_, legCarried_;
   std::vector<double> loss_;
 };
 
