--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -1,4 +1,5 @@
-// The account's rings and the sketch of users against plain containers that hold the same.
+// The usage ledger's rings and the sketch of heavy users compared with standard containers that hold the same, the ways
+// to divide a budget, and dimensioning.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -18,7 +19,7 @@
 
 namespace {
 
-/// The plain account: a map by second, minute and hour, trimmed to the same lengths.
+/// A usage cell made of maps by second, minute and hour, limited to the same numbers of buckets.
 class MapCell {
  public:
   void invited(std::uint64_t us) {
@@ -29,21 +30,21 @@
   }
 
  private:
-  static void add(std::map<std::uint64_t, UsageTotals>& level, std::uint64_t number, std::size_t room) {
+  static void add(std::map<std::uint64_t, UsageTotals>& level, std::uint64_t number, std::size_t capacity) {
     ++level[number].invites;
-    if (level.size() > room) level.erase(level.begin());
+    if (level.size() > capacity) level.erase(level.begin());
   }
   std::map<std::uint64_t, UsageTotals> seconds_, minutes_, hours_;
   UsageTotals total_;
 };
 
-constexpr double kEveryMs = 7;  // an INVITE: some 140 a second in one cell
+constexpr double kInviteIntervalMs = 7;  // between INVITEs: about 140 per second in one cell
 
 void accountRing(benchmark::State& state) {
   UsageCell cell;
   Instant now = Instant::ms(1000);
   for (auto _ : state) {
-    now = now + Span::ms(kEveryMs);
+    now = now + Span::ms(kInviteIntervalMs);
     cell.invited(now, 0);
   }
   state.counters["bytes"] = sizeof(UsageCell);
@@ -54,48 +55,48 @@
   MapCell cell;
   std::uint64_t us = 1000000;
   for (auto _ : state) {
-    us += static_cast<std::uint64_t>(kEveryMs * 1000);
+    us += static_cast<std::uint64_t>(kInviteIntervalMs * 1000);
     cell.invited(us);
   }
   state.counters["bytes"] = static_cast<double>(::mallinfo2().uordblks - before + sizeof(MapCell));
 }
 
 std::vector<std::string> users(int count, double skew) {
-  std::mt19937_64 chance(7);
-  std::vector<std::string> all;
+  std::mt19937_64 random(7);
+  std::vector<std::string> names;
   for (int i = 0; i < 200000; ++i) {
-    const double lot = std::generate_canonical<double, 53>(chance);
-    all.push_back("0" + std::to_string(static_cast<int>(count * std::pow(lot, skew))));
+    const double draw = std::generate_canonical<double, 53>(random);
+    names.push_back("0" + std::to_string(static_cast<int>(count * std::pow(draw, skew))));
   }
-  return all;
+  return names;
 }
 
 void usersSketch(benchmark::State& state) {
-  const auto all = users(static_cast<int>(state.range(0)), 4);
+  const auto names = users(static_cast<int>(state.range(0)), 4);
   const std::size_t before = ::mallinfo2().uordblks;
   TopUsers sketch(128);
   std::size_t i = 0;
-  for (auto _ : state) sketch.add(all[i++ % all.size()], 10);
+  for (auto _ : state) sketch.add(names[i++ % names.size()], 10);
   state.counters["bytes"] = static_cast<double>(::mallinfo2().uordblks - before);
 }
 
 void usersExact(benchmark::State& state) {
-  const auto all = users(static_cast<int>(state.range(0)), 4);
+  const auto names = users(static_cast<int>(state.range(0)), 4);
   const std::size_t before = ::mallinfo2().uordblks;
   std::unordered_map<std::string, std::uint64_t> exact;
   std::size_t i = 0;
-  for (auto _ : state) exact[all[i++ % all.size()]] += 10;
+  for (auto _ : state) exact[names[i++ % names.size()]] += 10;
   state.counters["bytes"] = static_cast<double>(::mallinfo2().uordblks - before);
 }
 
-/// The sketch with the users kept in order of their sums, so that the least is at hand.
+/// The sketch with its users kept in order of their sums, so that the smallest is found at once.
 void usersOrdered(benchmark::State& state) {
-  const auto all = users(static_cast<int>(state.range(0)), 4);
+  const auto names = users(static_cast<int>(state.range(0)), 4);
   std::set<std::pair<std::uint64_t, std::string>> order;
   std::unordered_map<std::string, std::uint64_t> sums;
   std::size_t i = 0;
   for (auto _ : state) {
-    const std::string& name = all[i++ % all.size()];
+    const std::string& name = names[i++ % names.size()];
     std::uint64_t sum = 0;
     if (const auto known = sums.find(name); known != sums.end()) {
       sum = known->second;
@@ -110,50 +111,50 @@
   }
 }
 
-/// The table of docs/zones.md: offices, way of dividing, with trouble or without.
+/// The table of docs/zones.md. Arguments: number of offices, scheme of division, whether there are faults.
 void dividing(benchmark::State& state) {
   const int offices = static_cast<int>(state.range(0));
-  // Three seeds; one of four minutes at 95, where each takes a minute or more.
+  // Three seeds; a single one with four simulated minutes for 95 offices, where each takes a minute or more to run.
   const int seeds = offices < 95 ? 3 : 1;
   for (auto _ : state) {
-    double refused = 0, offered = 0, idle = 0, words = 0;
-    int over = 0;
+    double refused = 0, offered = 0, idle = 0, messages = 0;
+    int overBudget = 0;
     for (int seed = 1; seed <= seeds; ++seed) {
-      model::ZoneScenario day;
-      day.offices = offices;
-      day.circuits = offices * 8;
-      day.scheme = static_cast<model::DivisionScheme>(state.range(1));
-      day.seed = static_cast<std::uint64_t>(seed);
-      day.clockDrift = 0.005;
-      if (offices >= 95) day.duration = Span::ms(240000);
+      model::ZoneScenario scenario;
+      scenario.offices = offices;
+      scenario.circuits = offices * 8;
+      scenario.scheme = static_cast<model::DivisionScheme>(state.range(1));
+      scenario.seed = static_cast<std::uint64_t>(seed);
+      scenario.clockDrift = 0.005;
+      if (offices >= 95) scenario.duration = Span::ms(240000);
       if (state.range(2) != 0) {
         using Kind = model::ZoneFault::Kind;
-        day.loss = day.duplication = day.lateness = 0.1;
+        scenario.loss = scenario.duplication = scenario.lateness = 0.1;
         std::vector<int> half;
         for (int i = 0; i < offices / 2; ++i) half.push_back(i);
-        day.faults = {{Kind::kill, Span::ms(60000), Span::ms(3000), half, 0},
-                      {Kind::partition, Span::ms(100000), Span::ms(60000), half, 0},
-                      {Kind::freeze, Span::ms(180000), Span::ms(20000), {0, 1}, 0},
-                      {Kind::budget, Span::ms(220000), Span::ms(3000), {}, day.circuits / 3}};
+        scenario.faults = {{Kind::kill, Span::ms(60000), Span::ms(3000), half, 0},
+                           {Kind::partition, Span::ms(100000), Span::ms(60000), half, 0},
+                           {Kind::freeze, Span::ms(180000), Span::ms(20000), {0, 1}, 0},
+                           {Kind::budget, Span::ms(220000), Span::ms(3000), {}, scenario.circuits / 3}};
       }
-      const model::ZoneResult result = model::simulate(day);
+      const model::ZoneResult result = model::simulate(scenario);
       refused += static_cast<double>(result.refused);
       offered += static_cast<double>(result.offered);
       idle += result.meanIdleShare / seeds;
-      words += result.messagesPerSecond / seeds;
-      over = std::max(over, result.maxOverBudget);
+      messages += result.messagesPerSecond / seeds;
+      overBudget = std::max(overBudget, result.maxOverBudget);
     }
     state.counters["refused"] = refused / offered;
-    state.counters["over"] = over / (offices * 8.0);
+    state.counters["over"] = overBudget / (offices * 8.0);
     state.counters["idle"] = idle;
-    state.counters["words"] = words;
+    state.counters["words"] = messages;
   }
 }
 
-/// A plan for a full mesh of unequal loads, and its price against each group by itself.
+/// A plan for a full mesh of unequal loads, and its price relative to that of groups sized separately.
 void planning(benchmark::State& state) {
   const int places = static_cast<int>(state.range(0));
-  std::mt19937 chance(3);
+  std::mt19937 random(3);
   dimension::Mesh mesh;
   mesh.places = places;
   mesh.widths = {1, 4};
@@ -162,19 +163,19 @@
     for (int b = 0; b < places; ++b) {
       if (a < b) mesh.groups.push_back({a, b, 24, a % 3 == b % 3 ? 1.0 : 2.0});
       if (a == b) continue;
-      const double load = 1 + 9 * std::generate_canonical<double, 30>(chance);
+      const double load = 1 + 9 * std::generate_canonical<double, 30>(random);
       mesh.loads[mesh.loadIndex(a, b, 0)] = 0.8 * load;
       mesh.loads[mesh.loadIndex(a, b, 1)] = 0.05 * load;
     }
   }
-  dimension::DimensioningTarget wish;
-  wish.loss = {0.01, 0.02};
+  dimension::DimensioningTarget target;
+  target.loss = {0.01, 0.02};
   for (auto _ : state) {
-    const dimension::Advice advice = dimension::advise(mesh, wish);
-    const auto alone = dimension::sizeGroupsSeparately(mesh, wish);
-    double naive = 0;
-    for (std::size_t g = 0; g < alone.size(); ++g) naive += alone[g] * mesh.groups[g].price;
-    state.counters["price"] = advice.price / naive;
+    const dimension::Advice advice = dimension::advise(mesh, target);
+    const auto separateSizes = dimension::sizeGroupsSeparately(mesh, target);
+    double separatePrice = 0;
+    for (std::size_t g = 0; g < separateSizes.size(); ++g) separatePrice += separateSizes[g] * mesh.groups[g].price;
+    state.counters["price"] = advice.price / separatePrice;
     state.counters["met"] = advice.targetMet;
   }
 }
--- a/src/pages/plot.cpp
+++ b/src/pages/plot.cpp
@@ -9,35 +9,35 @@
 
 namespace thistlefold::pages {
 
-std::string quoted(const std::string& text) {
-  std::string out = "\"";
+std::string quoteForGnuplot(const std::string& text) {
+  std::string quoted = "\"";
   for (const char c : text) {
-    // Neither an end of the string nor an escape, nor what gnuplot's enhanced text takes for a sign.
+    // Leaves out what ends the string, begins an escape or has a special meaning for gnuplot, and control characters.
     if (c == '"' || c == '\\' || c == '`' || c == '$' || c < ' ') continue;
-    out += c;
+    quoted += c;
   }
-  return out + '"';
+  return quoted + '"';
 }
 
-std::string plot(const std::string& script, int width, int height) {
+std::string renderPlot(const std::string& script, int width, int height) {
   char path[] = "/tmp/thistlefold-plot-XXXXXX";
   const int file = ::mkstemp(path);
-  if (file < 0) throw PlotError("no file for a plot's script can be made in /tmp");
-  const std::string whole = "set terminal svg noenhanced size " + std::to_string(width) + "," + std::to_string(height) +
-                            " font 'sans,11' background rgb 'white'\n" + script + "\n";
-  const bool written = ::write(file, whole.data(), whole.size()) == static_cast<ssize_t>(whole.size());
+  if (file < 0) throw PlotError("cannot create a file for the plot script in /tmp");
+  const std::string fullScript = "set terminal svg noenhanced size " + std::to_string(width) + "," +
+                                 std::to_string(height) + " font 'sans,11' background rgb 'white'\n" + script + "\n";
+  const bool written = ::write(file, fullScript.data(), fullScript.size()) == static_cast<ssize_t>(fullScript.size());
   ::close(file);
   std::string svg;
   int status = -1;
   if (written) {
-    if (FILE* out = ::popen(("gnuplot " + std::string(path) + " 2>&1").c_str(), "r")) {
+    if (FILE* pipe = ::popen(("gnuplot " + std::string(path) + " 2>&1").c_str(), "r")) {
       char buffer[4096];
-      while (const std::size_t got = std::fread(buffer, 1, sizeof buffer, out)) svg.append(buffer, got);
-      status = ::pclose(out);
+      while (const std::size_t count = std::fread(buffer, 1, sizeof buffer, pipe)) svg.append(buffer, count);
+      status = ::pclose(pipe);
     }
   }
   ::unlink(path);
-  if (status == 0x7f00) throw PlotError("gnuplot is not installed; it draws the plots");
+  if (status == 0x7f00) throw PlotError("gnuplot is not installed; it is needed to draw the plots");
   const auto begin = svg.find("<svg");
   if (status != 0 || begin == std::string::npos) throw PlotError("gnuplot: " + svg.substr(0, 300));
   return svg.substr(begin);
--- a/src/pages/plot.hpp
+++ b/src/pages/plot.hpp
@@ -1,21 +1,22 @@
 #pragma once
 
-// Pictures for reports, drawn by gnuplot in a process of its own.
+// Plots for reports, drawn by gnuplot in a separate process.
 
 #include <stdexcept>
 #include <string>
 
 namespace thistlefold::pages {
 
+/// A plot or page could not be made; what() says why.
 struct PlotError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// What the script draws, as SVG to be put into a page. The script must not set terminal or output. Throws NoPlot
-/// where gnuplot can't be run or does not take the script.
-std::string plot(const std::string& script, int width = 760, int height = 300);
+/// Runs a gnuplot script and returns its plot as an SVG element for a page. `width` and `height` are in pixels. The
+/// script must not set the terminal or the output. Throws PlotError if gnuplot cannot be run or rejects the script.
+std::string renderPlot(const std::string& script, int width = 760, int height = 300);
 
-/// A text as a gnuplot string, whatever it holds.
-std::string quoted(const std::string& text);
+/// Quotes any text as a gnuplot string; characters with a special meaning are left out.
+std::string quoteForGnuplot(const std::string& text);
 
 }  // namespace thistlefold::pages
--- a/src/pages/zones_page.cpp
+++ b/src/pages/zones_page.cpp
@@ -37,19 +37,19 @@
 {{#CELL}}<tr><td>{{FROM:h}}</td><td class="w">{{TO:h}}</td><td class="w">{{SERVICE:h}}</td><td class="w">{{PART:h}}</td><td>{{INVITES}}</td><td>{{STOOD}}</td><td>{{CUT}}</td><td>{{REFUSED}}</td><td>{{SECONDS}}</td></tr>
 {{/CELL}}</table>
 <h2>Budgets</h2>
-{{#NO_BUDGET}}<p>None is set.</p>{{/NO_BUDGET}}
+{{#NO_BUDGET}}<p>No budget is set.</p>{{/NO_BUDGET}}
 {{#HAS_BUDGET}}<table><tr><th>from</th><th class="w">to</th><th>budget</th><th>held</th><th>over</th><th>under by itself in</th><th>lent</th><th>written off</th></tr>
 {{#BUDGET}}<tr><td>{{FROM:h}}</td><td class="w">{{TO:h}}</td><td>{{WHOLE}}</td><td>{{HELD}}</td><td>{{OVER}}</td><td>{{UNDER}}</td><td>{{LENT}}</td><td>{{OFF}}</td></tr>
 {{/BUDGET}}</table>{{/HAS_BUDGET}}
 <h2>Circuits in use over time</h2>
 {{#TIME}}<h3>{{FROM:h}} to {{TO:h}}</h3>{{PLOT}}{{/TIME}}
-{{#NO_TIME}}<p>Nothing has crossed within the time shown.</p>{{/NO_TIME}}
-<h2>Who uses most</h2>
+{{#NO_TIME}}<p>No usage across zones within the time shown.</p>{{/NO_TIME}}
+<h2>Heaviest users</h2>
 {{#HAS_USER}}{{USERS}}
 <table><tr><th>user</th><th class="w">to</th><th>circuit-seconds, at most</th><th>at least</th></tr>
 {{#USER}}<tr><td>{{NAME:h}}</td><td class="w">{{TO:h}}</td><td>{{SECONDS}}</td><td>{{LEAST}}</td></tr>
 {{/USER}}</table>{{/HAS_USER}}
-{{#NO_USER}}<p>Nobody has crossed.</p>{{/NO_USER}}
+{{#NO_USER}}<p>No users across zones.</p>{{/NO_USER}}
 </body></html>
 )";
 
@@ -59,22 +59,22 @@
   return out.str();
 }
 
-void show(ctemplate::TemplateDictionary& row, const UsageRow& line) {
-  row.SetValue("INVITES", std::to_string(line.invites));
-  row.SetValue("STOOD", std::to_string(line.established));
-  row.SetValue("CUT", std::to_string(line.dropped));
-  row.SetValue("REFUSED", std::to_string(line.refused));
-  row.SetValue("HELD", std::to_string(line.held));
-  row.SetValue("SECONDS", seconds(static_cast<double>(line.circuitMicroseconds) / 1e6));
+void setUsageValues(ctemplate::TemplateDictionary& row, const UsageRow& usage) {
+  row.SetValue("INVITES", std::to_string(usage.invites));
+  row.SetValue("STOOD", std::to_string(usage.established));
+  row.SetValue("CUT", std::to_string(usage.dropped));
+  row.SetValue("REFUSED", std::to_string(usage.refused));
+  row.SetValue("HELD", std::to_string(usage.held));
+  row.SetValue("SECONDS", seconds(static_cast<double>(usage.circuitMicroseconds) / 1e6));
 }
 
 using Pair = std::pair<std::string, std::string>;
 
 std::string matrixPlot(const std::map<Pair, UsageRow>& pairs) {
   std::set<std::string> names;
-  for (const auto& [pair, line] : pairs) names.insert({pair.first, pair.second});
+  for (const auto& [pair, usage] : pairs) names.insert({pair.first, pair.second});
   const std::vector<std::string> zones(names.begin(), names.end());
-  if (zones.empty()) return "<p>Nothing has crossed.</p>";
+  if (zones.empty()) return "<p>No usage across zones.</p>";
   std::ostringstream script;
   script << "$m << EOD\n";
   for (std::size_t from = 0; from < zones.size(); ++from) {
@@ -89,14 +89,16 @@
          << zones.size() << "-0.5]\nset yrange [" << zones.size() << "-0.5:-0.5]\n";
   for (const char* axis : {"x", "y"}) {
     script << "set " << axis << "tics (";
-    for (std::size_t i = 0; i < zones.size(); ++i) script << (i > 0 ? "," : "") << quoted(zones[i]) << ' ' << i;
+    for (std::size_t i = 0; i < zones.size(); ++i)
+      script << (i > 0 ? "," : "") << quoteForGnuplot(zones[i]) << ' ' << i;
     script << ")\n";
   }
   script << "plot $m using 1:2:3 with image notitle, $m using 1:2:(sprintf('%.0f',$3)) with labels notitle\n";
-  return plot(script.str(), 520, 360);
+  return renderPlot(script.str(), 520, 360);
 }
 
-/// Mean circuits in use by service, one upon the other, and the budget as it was.
+/// Mean circuits in use over time, stacked by service, and the budget as it was then. Empty if there was no usage.
+/// `whole`: the present budget in circuits, or -1 for none.
 std::string timePlot(const Pair& pair, const std::vector<json::value>& series, const std::vector<json::value>& offices,
                      int whole) {
   std::map<std::string, std::map<std::int64_t, double>> use;
@@ -114,7 +116,7 @@
   if (use.empty()) return "";
   std::ostringstream script;
   script << "$u << EOD\n";
-  // The running bucket is not full yet.
+  // Bucket 0 is left out because its interval is not over yet.
   for (std::int64_t ago = oldest; ago >= 1; --ago) {
     script << -static_cast<double>(ago) * span;
     double sum = 0;
@@ -126,9 +128,9 @@
     script << '\n';
   }
   script << "EOD\n";
-  // The budget's changes, as any one office has had them.
-  bool budget = whole >= 0;
-  if (budget) {
+  // Changes of the budget as recorded by one office of the zone; any of them will do.
+  bool drawBudget = whole >= 0;
+  if (drawBudget) {
     std::vector<std::pair<double, int>> steps;
     for (const json::value& office : offices) {
       steps.clear();
@@ -136,11 +138,11 @@
         if (stringField(one, "to") != pair.second) continue;
         steps.emplace_back(-one.at("ago_ms").to_number<double>() / 1000, one.at("circuits").to_number<int>());
       }
-      const auto of = office.at("budgets").as_array();
-      const bool here = std::any_of(of.begin(), of.end(), [&](const json::value& b) {
+      const auto officeBudgets = office.at("budgets").as_array();
+      const bool hasBudget = std::any_of(officeBudgets.begin(), officeBudgets.end(), [&](const json::value& b) {
         return stringField(b, "from") == pair.first && stringField(b, "to") == pair.second;
       });
-      if (here && !steps.empty()) break;
+      if (hasBudget && !steps.empty()) break;
     }
     script << "$b << EOD\n";
     for (const auto& [at, circuits] : steps) {
@@ -153,11 +155,12 @@
   std::size_t column = use.size() + 1;
   bool first = true;
   for (auto it = use.rbegin(); it != use.rend(); ++it, --column) {
-    script << (first ? "" : ", ") << "$u using 1:" << column << " with filledcurves y1=0 title " << quoted(it->first);
+    script << (first ? "" : ", ") << "$u using 1:" << column << " with filledcurves y1=0 title "
+           << quoteForGnuplot(it->first);
     first = false;
   }
-  if (budget) script << ", $b using 1:2 with steps lw 2 lc rgb '#c00000' title 'budget'";
-  return plot(script.str());
+  if (drawBudget) script << ", $b using 1:2 with steps lw 2 lc rgb '#c00000' title 'budget'";
+  return renderPlot(script.str());
 }
 
 }  // namespace
@@ -171,10 +174,10 @@
   std::map<Pair, UsageRow> pairs;
   std::map<std::tuple<std::string, std::string, std::string, std::string>, UsageRow> cells;
   struct Budget {
-    std::int64_t whole = 0, held = 0, over = 0, under = 0, lent = 0, off = 0;
+    std::int64_t whole = 0, held = 0, over = 0, under = 0, lent = 0, writtenOff = 0;
   };
   std::map<Pair, Budget> budgets;
-  std::map<Pair, std::pair<double, double>> users;  // user, to; at most, at least
+  std::map<Pair, std::pair<double, double>> users;  // by user and zone: upper and lower bound of circuit-seconds
   for (const json::value& office : offices) {
     forEachCell(office, [&](const json::value& cell) {
       pairs[{stringField(cell, "from"), stringField(cell, "to")}] += parseUsageRow(cell);
@@ -189,7 +192,7 @@
       budget.over += number("over");
       budget.under = std::max(budget.under, number("under_in_ms"));
       budget.lent += number("lent");
-      budget.off += number("written_off");
+      budget.writtenOff += number("written_off");
     }
     for (const json::value& one : office.at("users").as_array()) {
       auto& [most, least] = users[{stringField(one, "user"), stringField(one, "to")}];
@@ -199,29 +202,29 @@
     }
   }
   page.SetValue("MATRIX", matrixPlot(pairs));
-  bool timed = false;
-  for (const auto& [pair, line] : pairs) {
+  bool anyPlot = false;
+  for (const auto& [pair, usage] : pairs) {
     auto* row = page.AddSectionDictionary("PAIR");
     row->SetValue("FROM", pair.first);
     row->SetValue("TO", pair.second);
-    show(*row, line);
+    setUsageValues(*row, usage);
     const auto budget = budgets.find(pair);
-    const std::string drawn =
+    const std::string svg =
         timePlot(pair, series, offices, budget == budgets.end() ? -1 : static_cast<int>(budget->second.whole));
-    if (drawn.empty()) continue;
-    timed = true;
+    if (svg.empty()) continue;
+    anyPlot = true;
     auto* time = page.AddSectionDictionary("TIME");
     time->SetValue("FROM", pair.first);
     time->SetValue("TO", pair.second);
-    time->SetValue("PLOT", drawn);
+    time->SetValue("PLOT", svg);
   }
-  for (const auto& [key, line] : cells) {
+  for (const auto& [key, usage] : cells) {
     auto* row = page.AddSectionDictionary("CELL");
     row->SetValue("FROM", std::get<0>(key));
     row->SetValue("TO", std::get<1>(key));
     row->SetValue("SERVICE", std::get<2>(key));
     row->SetValue("PART", std::get<3>(key));
-    show(*row, line);
+    setUsageValues(*row, usage);
   }
   if (!budgets.empty()) {
     auto* table = page.AddSectionDictionary("HAS_BUDGET");
@@ -234,7 +237,7 @@
       row->SetValue("OVER", std::to_string(one.over));
       row->SetValue("UNDER", one.over == 0 ? "-" : seconds(static_cast<double>(one.under) / 1000) + " s");
       row->SetValue("LENT", std::to_string(one.lent));
-      row->SetValue("OFF", std::to_string(one.off));
+      row->SetValue("OFF", std::to_string(one.writtenOff));
     }
   }
   std::vector<std::pair<Pair, std::pair<double, double>>> sorted(users.begin(), users.end());
@@ -246,10 +249,10 @@
     std::ostringstream script;
     script << "$u << EOD\n";
     for (const auto& [user, sums] : sorted)
-      script << quoted(user.first + " to " + user.second) << ' ' << sums.first << '\n';
+      script << quoteForGnuplot(user.first + " to " + user.second) << ' ' << sums.first << '\n';
     script << "EOD\nset style data histogram\nset style fill solid 0.7\nset xtics rotate by -40\nset ylabel "
               "'circuit-seconds'\nset yrange [0:*]\nplot $u using 2:xtic(1) notitle lc rgb '#1f5fa8'";
-    table->SetValue("USERS", plot(script.str()));
+    table->SetValue("USERS", renderPlot(script.str()));
     for (const auto& [user, sums] : sorted) {
       auto* row = table->AddSectionDictionary("USER");
       row->SetValue("NAME", user.first);
@@ -258,12 +261,12 @@
       row->SetValue("LEAST", seconds(sums.second));
     }
   }
-  if (!timed) page.ShowSection("NO_TIME");
+  if (!anyPlot) page.ShowSection("NO_TIME");
   if (budgets.empty()) page.ShowSection("NO_BUDGET");
   if (users.empty()) page.ShowSection("NO_USER");
   std::string out;
   if (!ctemplate::ExpandTemplate("zones", ctemplate::DO_NOT_STRIP, &page, &out))
-    throw PlotError("the page's template can't be read");
+    throw PlotError("the page template cannot be expanded");
   return out;
 }
 
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -1,4 +1,4 @@
-// The account of traffic across zones.
+// Usage accounting across zones, admission to an office's part of a budget, and budgets in running offices.
 
 #include <cmath>
 #include <map>
@@ -21,31 +21,32 @@
 
 template <std::size_t N>
 UsageTotals sumOf(const Ring<N>& ring, std::uint64_t from, std::uint64_t to) {
-  UsageTotals all;
+  UsageTotals total;
   for (std::uint64_t i = from; i <= to; ++i) {
-    if (const UsageTotals* one = ring.find(i)) all += *one;
+    if (const UsageTotals* bucket = ring.find(i)) total += *bucket;
   }
-  return all;
+  return total;
 }
 
 }  // namespace
 
-TEST_CASE("sums over seconds, minutes, hours and the total agree to the unit") {
+TEST_CASE("sums over seconds, minutes and hours equal the total exactly") {
   UsageCell cell;
-  std::mt19937 chance(4);
+  std::mt19937 random(4);
   Instant now = Instant::ms(1000);
   std::vector<int> held;
-  std::uint64_t exact = 0;  // the plain account: circuits times microseconds, kept beside
+  std::uint64_t expected = 0;  // computed independently: circuits times microseconds
   int circuits = 0;
   while (now < Instant::ms(240000)) {
-    const double step = static_cast<double>(chance() % 700) + 0.001 * static_cast<double>(chance() % 1000);
+    const double step = static_cast<double>(random() % 700) + 0.001 * static_cast<double>(random() % 1000);
     const Instant next = now + Span::ms(step);
-    exact += static_cast<std::uint64_t>(circuits) * static_cast<std::uint64_t>(std::llround((next - now).ms() * 1000));
+    expected +=
+        static_cast<std::uint64_t>(circuits) * static_cast<std::uint64_t>(std::llround((next - now).ms() * 1000));
     now = next;
-    switch (chance() % 4) {
+    switch (random() % 4) {
       case 0:
       case 1:
-        held.push_back(1 + static_cast<int>(chance() % 4));
+        held.push_back(1 + static_cast<int>(random() % 4));
         circuits += held.back();
         cell.invited(now, held.back());
         break;
@@ -62,7 +63,7 @@
   }
   cell.accrue(now);
   CHECK(cell.held() == circuits);
-  CHECK(cell.total().circuitMicroseconds == exact);
+  CHECK(cell.total().circuitMicroseconds == expected);
   CHECK(cell.total().invites > 100);
   CHECK(sumOf(cell.seconds(), 0, 300) == cell.total());
   CHECK(sumOf(cell.minutes(), 0, 10) == cell.total());
@@ -72,7 +73,7 @@
   }
 }
 
-TEST_CASE("what leaves the ring leaves it whole, and an idle hour costs nothing") {
+TEST_CASE("a bucket that leaves the ring is gone from it, and an idle hour adds nothing") {
   UsageCell cell;
   cell.invited(Instant::ms(1500), 2);
   cell.released(Instant::ms(2500), 2);
@@ -86,7 +87,7 @@
   CHECK(cell.total().circuitMicroseconds == 2000000);
 }
 
-TEST_CASE("an office counts each leg that crosses once, by kind, and frees its circuits in the account") {
+TEST_CASE("an office counts each leg across zones once, by kind, and releases its circuits in the ledger") {
   Fleet fleet = smallFleet(3, 10);
   fleet.places[1].zone = "away";
   fleet.places[2].zone = "far";
@@ -96,34 +97,34 @@
   TestPhone phone(99);
   fixture.testbed().place(day::kCallers, phone);
   iax2::Call* direct = phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "wide");
-  iax2::Call* over = phone.dial(fixture.now(), fixture.office(0), "220001");
+  iax2::Call* viaTandem = phone.dial(fixture.now(), fixture.office(0), "220001");
   fixture.testbed().wakeUp(day::kCallers);
   fixture.run(1000);
   REQUIRE(phone.count("ANSWER") == 2);
   phone.endpoint().hangUp(fixture.now(), *direct, iax2::Iax::HANGUP, {});
-  phone.endpoint().hangUp(fixture.now(), *over, iax2::Iax::HANGUP, {});
+  phone.endpoint().hangUp(fixture.now(), *viaTandem, iax2::Iax::HANGUP, {});
   fixture.testbed().wakeUp(day::kCallers);
   fixture.run(1000);
-  const auto read = [&](int place) {
+  const auto readCells = [&](int place) {
     return boost::json::parse(fixture.testbed().ask(place, "thistlefold zones 1\n").value()).at("cells").as_array();
   };
-  const auto first = read(0), second = read(1);
-  REQUIRE(first.size() == 2);
-  REQUIRE(second.size() == 1);
-  CHECK(first[0].at("part").as_string() == "first");
-  CHECK(first[0].at("service").as_string() == "call");
-  CHECK(first[1].at("part").as_string() == "direct");
-  CHECK(first[1].at("service").as_string() == "wide");
-  CHECK(second[0].at("part").as_string() == "second");
-  CHECK(second[0].at("to").as_string() == "far");
-  for (const auto& cell : {first[0], first[1], second[0]}) {
+  const auto firstCells = readCells(0), secondCells = readCells(1);
+  REQUIRE(firstCells.size() == 2);
+  REQUIRE(secondCells.size() == 1);
+  CHECK(firstCells[0].at("part").as_string() == "first");
+  CHECK(firstCells[0].at("service").as_string() == "call");
+  CHECK(firstCells[1].at("part").as_string() == "direct");
+  CHECK(firstCells[1].at("service").as_string() == "wide");
+  CHECK(secondCells[0].at("part").as_string() == "second");
+  CHECK(secondCells[0].at("to").as_string() == "far");
+  for (const auto& cell : {firstCells[0], firstCells[1], secondCells[0]}) {
     CHECK(cell.at("invites").as_int64() == 1);
     CHECK(cell.at("stood").as_int64() == 1);
     CHECK(cell.at("held").as_int64() == 0);
   }
-  // Four circuits for a little over a second.
-  CHECK(first[1].at("circuit_us").as_int64() > 4000000);
-  CHECK(first[1].at("circuit_us").as_int64() < 4200000);
+  // Four circuits for little more than a second.
+  CHECK(firstCells[1].at("circuit_us").as_int64() > 4000000);
+  CHECK(firstCells[1].at("circuit_us").as_int64() < 4200000);
   const auto findings = fixture.findings();
   CHECK(findings.crossed.at({"home", "away", "call", "first"}) == audit::ZoneLegCounts{1, 1});
   CHECK(findings.crossed.at({"away", "far", "call", "second"}) == audit::ZoneLegCounts{1, 1});
@@ -151,7 +152,7 @@
 
 }  // namespace
 
-TEST_CASE("equal parts add up to the whole, whatever the count") {
+TEST_CASE("equal parts add up to the whole for any count") {
   for (int whole : {0, 1, 7, 24, 95, 1000}) {
     for (int count : {1, 2, 3, 7, 95}) {
       int sum = 0;
@@ -162,11 +163,11 @@
   }
 }
 
-TEST_CASE("a flood of one class takes its most part and what others leave, never their guarantee") {
+TEST_CASE("a flood of one class uses its limit and what others leave free, never their guarantee") {
   BudgetPart part = partOf(24, {{0, std::nullopt}, {12, std::nullopt}});
   fill(part, 0);
-  CHECK(part.heldBy(0) == 9);  // 24 less the guarantee, less what the widest needs beyond it
-  CHECK(fill(part, 1) == 3);   // the guarantee is reachable at once, whatever the flood holds
+  CHECK(part.heldBy(0) == 9);  // 24 less the guarantee, less what the widest needs beyond one circuit
+  CHECK(fill(part, 1) == 3);   // the guarantee is available at once, whatever the flood holds
   BudgetPart bounded = partOf(24, {{0, 5}, {0, std::nullopt}});
   CHECK(fill(bounded, 0) == 5);
   CHECK(fill(bounded, 1) == 4);
@@ -174,24 +175,25 @@
 
 TEST_CASE("wide and narrow sessions are refused in the same states") {
   BudgetPart part = partOf(20, {{}, {}});
-  // Narrow ones stop where a wide one would no longer fit, so the next circuits that come free are as good for it.
+  // Narrow sessions are refused as soon as a wide one no longer fits, so a wide one can use the next free circuits.
   CHECK(fill(part, 0) == 17);
   CHECK_FALSE(part.admits(kNow, 1));
   part.release(0);
   CHECK(part.admits(kNow, 1));
   CHECK(part.admits(kNow, 0));
-  // Nobody has asked for a wide one of late: nothing is kept for it.
+  // No wide session was requested recently: nothing is reserved for one.
   for (int i = 0; i < 4; ++i) CHECK(part.admits(kNow + Span::ms(6000), 0));
-  // A part that never holds a wide one is left to the narrow ones.
+  // In a part too small for a wide session, nothing is reserved for one.
   BudgetPart small = partOf(3, {{}, {}});
   CHECK(fill(small, 0) == 3);
 }
 
-TEST_CASE("beside a service of more worth that is asked for, room for one of it is left") {
+TEST_CASE("circuits for one session of a requested higher-value service are kept free") {
   BudgetPart part({{1, 1, Span::ms(10000)}, {2, 5, Span::ms(10000)}});
   part.setBounds(Bounds{20, {}});
   part.recordRequest(kNow, 1);
-  CHECK(fill(part, 0) == 17);  // two for the widest, two for the dearer: 4 are left when the 17th is let in
+  CHECK(fill(part, 0) ==
+        17);  // two for the widest, two for the higher-value service: 4 are free when the 17th is admitted
   CHECK(fill(part, 1) == 1);
   part.release(0);
   CHECK_FALSE(part.admits(kNow, 0));
@@ -199,18 +201,18 @@
   CHECK(part.admits(kNow + Span::ms(6000), 0));
 }
 
-TEST_CASE("who makes way: of least worth first, of these the newest, and no more than is wanted") {
-  const std::vector<ServiceProfile> kinds{{1, 2, Span::ms(1000)}, {4, 1, Span::ms(1000)}};
-  const std::vector<EstablishedSession> standing{
+TEST_CASE("sessions to end: of the lowest value first, of these the newest, and no more than needed") {
+  const std::vector<ServiceProfile> services{{1, 2, Span::ms(1000)}, {4, 1, Span::ms(1000)}};
+  const std::vector<EstablishedSession> sessions{
       {0, Instant::ms(1)}, {1, Instant::ms(2)}, {1, Instant::ms(3)}, {0, Instant::ms(4)}};
-  CHECK(selectSessionsToEnd(kinds, standing, 0).empty());
-  CHECK(selectSessionsToEnd(kinds, standing, 1) == std::vector<std::size_t>{2});
-  CHECK(selectSessionsToEnd(kinds, standing, 5) == std::vector<std::size_t>{2, 1});
-  CHECK(selectSessionsToEnd(kinds, standing, 9) == std::vector<std::size_t>{2, 1, 3});
-  CHECK(selectSessionsToEnd(kinds, standing, 100).size() == 4);
+  CHECK(selectSessionsToEnd(services, sessions, 0).empty());
+  CHECK(selectSessionsToEnd(services, sessions, 1) == std::vector<std::size_t>{2});
+  CHECK(selectSessionsToEnd(services, sessions, 5) == std::vector<std::size_t>{2, 1});
+  CHECK(selectSessionsToEnd(services, sessions, 9) == std::vector<std::size_t>{2, 1, 3});
+  CHECK(selectSessionsToEnd(services, sessions, 100).size() == 4);
 }
 
-TEST_CASE("a lowered budget admits nothing until enough has ended, and says how much is over") {
+TEST_CASE("a lowered budget admits nothing until enough sessions have ended, and reports the excess") {
   BudgetPart part = partOf(24, {{}, {}});
   for (int i = 0; i < 5; ++i) part.seize(1);
   part.setBounds(Bounds{8, {}});
@@ -225,11 +227,11 @@
   CHECK(part.admits(kNow, 1));
 }
 
-TEST_CASE("a budget lowered to nothing in service: new sessions go another way or are refused, standing ones end") {
+TEST_CASE("a budget lowered to 0 in service refuses new sessions and lets established ones end by themselves") {
   Fleet fleet = smallFleet(2, 50);
   fleet.places[1].zone = "away";
-  const iax2::Address callers{2, 2}, other{3, 3};
-  fleet.places[1].office = other;
+  const iax2::Address callers{2, 2}, peerAddress{3, 3};
+  fleet.places[1].office = peerAddress;
   fleet.directory = {9, 9};
   Office office(fleet, OfficeOptions(), Instant::ms(1000));
   ExchangeList list{1, 1, true, {{0, Readiness::ready, 1, Span::ms(1e6)}, {1, Readiness::ready, 1, Span::ms(1e6)}}, {}};
@@ -238,14 +240,14 @@
   office.receive(now, fleet.directory, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
   TestPhone phone(4), peer(5);
   std::set<iax2::Call*> answered;
-  const auto pass = [&] {
+  const auto exchangeFrames = [&] {
     for (int i = 0; i < 4; ++i) {
       now = now + Span::ms(1);
       phone.process(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, callers, bytes); });
-      peer.process(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, other, bytes); });
+      peer.process(now, [&](iax2::Address, iax2::Bytes bytes) { office.receive(now, peerAddress, bytes); });
       office.process(now, [&](iax2::Address to, iax2::Bytes bytes) {
         if (to == callers) phone.receive(now, {1, 1}, bytes);
-        if (to == other) peer.receive(now, {1, 1}, bytes);
+        if (to == peerAddress) peer.receive(now, {1, 1}, bytes);
       });
       for (iax2::Call* call : std::vector(peer.calls.begin(), peer.calls.end())) {
         if (!answered.insert(call).second) continue;
@@ -262,7 +264,7 @@
   std::vector<iax2::Call*> calls;
   for (int i = 0; i < 6; ++i) {
     calls.push_back(phone.dial(now, {1, 1}, "21000" + std::to_string(i)));
-    pass();
+    exchangeFrames();
   }
   CHECK(phone.count("ANSWER") == 3);
   CHECK(phone.count("REJECT") == 3);
@@ -270,53 +272,53 @@
   budget.circuits = 0;
   office.budgets(now, {budget});
   phone.dial(now, {1, 1}, "210009");
-  pass();
+  exchangeFrames();
   CHECK(phone.count("ANSWER") == 3);
   CHECK(phone.count("REJECT") == 4);
   CHECK(office.zonesReport(now).find("\"held\":3,\"over\":3") != std::string::npos);
   for (int i = 0; i < 3; ++i) phone.endpoint().hangUp(now, *calls[static_cast<std::size_t>(i)], iax2::Iax::HANGUP, {});
-  pass();
+  exchangeFrames();
   CHECK(office.zonesReport(now).find("\"held\":0,\"over\":0") != std::string::npos);
   office.budgets(now, {});
   phone.dial(now, {1, 1}, "210010");
-  pass();
+  exchangeFrames();
   CHECK(phone.count("ANSWER") == 4);
 }
 
-TEST_CASE("the sketch of users names all who use more than its share, and bounds what it says of each") {
-  std::mt19937_64 chance(11);
+TEST_CASE("the sketch lists every user above total / capacity, and bounds the error of each sum") {
+  std::mt19937_64 random(11);
   TopUsers sketch(128);
-  std::map<std::string, std::uint64_t> exact;
-  std::uint64_t all = 0;
+  std::map<std::string, std::uint64_t> expected;
+  std::uint64_t total = 0;
   for (int i = 0; i < 60000; ++i) {
-    const double lot = std::generate_canonical<double, 53>(chance);
-    const std::string user = std::to_string(static_cast<int>(20000 * std::pow(lot, 6)));
-    const std::uint64_t amount = 1 + chance() % 20;
+    const double draw = std::generate_canonical<double, 53>(random);
+    const std::string user = std::to_string(static_cast<int>(20000 * std::pow(draw, 6)));
+    const std::uint64_t amount = 1 + random() % 20;
     sketch.add(user, amount);
-    exact[user] += amount;
-    all += amount;
+    expected[user] += amount;
+    total += amount;
   }
-  REQUIRE(exact.size() > 5000);
+  REQUIRE(expected.size() > 5000);
   CHECK(sketch.total() == total);
   const auto top = sketch.top(128);
   CHECK(top.size() == 128);
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const auto& user : top) {
-    named.insert(user.name);
-    CHECK(user.sum >= exact[user.name]);
-    CHECK(user.sum - user.maxOverestimate <= exact[user.name]);
-    CHECK(user.maxOverestimate <= all / 128);
+    listed.insert(user.name);
+    CHECK(user.sum >= expected[user.name]);
+    CHECK(user.sum - user.maxOverestimate <= expected[user.name]);
+    CHECK(user.maxOverestimate <= total / 128);
   }
   int heavy = 0;
-  for (const auto& [user, sum] : exact) {
-    if (sum <= all / 128) continue;
+  for (const auto& [user, sum] : expected) {
+    if (sum <= total / 128) continue;
     ++heavy;
-    CHECK(named.contains(user));
+    CHECK(listed.contains(user));
   }
   CHECK(heavy > 3);
 }
 
-TEST_CASE("what a far end saw of an office that was started anew counts once, from then on") {
+TEST_CASE("usage of a restarted office's earlier incarnation counts once, from the restart on") {
   PeerUsage peerUsage;
   const UsageKey key{0, 1, 0, LegKind::direct};
   peerUsage.totalsFor(3, 100, key).invites += 5;
@@ -325,7 +327,7 @@
   CHECK(peerUsage.inherited().empty());
   peerUsage.recordIncarnation(3, 200);
   CHECK(peerUsage.inherited().at(key).invites == 5);
-  // A NEW of the earlier start that was late on its way is in nobody else's account.
+  // A delayed NEW of the earlier incarnation is in no other office's account.
   peerUsage.totalsFor(3, 100, key).invites += 1;
   peerUsage.totalsFor(3, 200, key).invites += 7;
   CHECK(peerUsage.inherited().at(key).invites == 6);
@@ -333,7 +335,7 @@
   CHECK(peerUsage.inherited().at(key).invites == 13);
 }
 
-TEST_CASE("a tandem in a third zone: each leg takes of the budget of its own pair, by the office that sends it") {
+TEST_CASE("a tandem in a third zone: each leg uses the budget of its own pair of zones, at the office that sends it") {
   Fleet fleet = smallFleet(3, 10);
   fleet.places[1].zone = "away";
   fleet.places[2].zone = "far";
@@ -356,12 +358,12 @@
         .at("budgets")
         .as_array()[0];
   };
-  // The module keeps two-leg sessions off the last circuits of what it is shown.
-  const auto stand = static_cast<std::int64_t>(phone.count("ANSWER"));
-  CHECK(stand >= 2);
-  CHECK(stand <= 4);
-  CHECK(budget(0).at("held").as_int64() == stand);
-  CHECK(budget(1).at("held").as_int64() == stand);
+  // The controller does not use the last circuits of a group for two-leg sessions.
+  const auto established = static_cast<std::int64_t>(phone.count("ANSWER"));
+  CHECK(established >= 2);
+  CHECK(established <= 4);
+  CHECK(budget(0).at("held").as_int64() == established);
+  CHECK(budget(1).at("held").as_int64() == established);
   CHECK(budget(1).at("part").as_int64() == 4);
   CHECK(fixture.findings().kept());
   fixture.testbed().remove(day::kCallers);
