--- a/src/dimension/mesh.cpp
+++ b/src/dimension/mesh.cpp
@@ -53,7 +53,9 @@
     const double square = free * free;
     return square * square * square * square;
   }
-  std::size_t pairIndex(int a, int b) const { return static_cast<std::size_t>(a * mesh_.places + b); }
+  std::size_t pairIndex(int a, int b) const {
+    return static_cast<std::size_t>(a) * static_cast<std::size_t>(mesh_.places) + static_cast<std::size_t>(b);
+  }
   int group(int a, int b) const { return groupOf_[pairIndex(a, b)]; }
 
   /// Distributes all loads over the groups, given the blocking of the last round.
--- a/src/zones/lease.cpp
+++ b/src/zones/lease.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-LeasedBudget::LeasedBudget(std::vector<ServiceProfile> services, int place, std::vector<int> zonePeers, int towards,
-                           Instant now, LeaseTiming timing)
+LeasedBudget::LeasedBudget(const std::vector<ServiceProfile>& services, int place, std::vector<int> zonePeers,
+                           int towards, Instant now, LeaseTiming timing)
     : services_(services),
       place_(place),
       towards_(towards),
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -64,8 +64,8 @@
  public:
   /// `place`: of this office. `zonePeers`: places of all offices of its zone, this office included, in the order of
   /// the fleet file. `towards`: the zone that the budget leads to. `now` serves as this office's incarnation.
-  LeasedBudget(std::vector<ServiceProfile> services, int place, std::vector<int> zonePeers, int towards, Instant now,
-               LeaseTiming timing = {});
+  LeasedBudget(const std::vector<ServiceProfile>& services, int place, std::vector<int> zonePeers, int towards,
+               Instant now, LeaseTiming timing = {});
 
   /// Replaces the budget; `std::nullopt` removes it. Established sessions stay; loans are recalled where the owned part
   /// has become smaller.
--- a/tests/program/theory.cpp
+++ b/tests/program/theory.cpp
@@ -44,7 +44,7 @@
     for (auto& [state, share] : probabilities) {
       if (share == 0) continue;
       const auto [a, b] = state;
-      const auto moveTo = [&](std::pair<int, int> to, double transitionRate) {
+      const auto moveTo = [&, &state = state, &share = share](std::pair<int, int> to, double transitionRate) {
         next[to] += share * transitionRate / totalRate;
         next[state] -= share * transitionRate / totalRate;
       };
