--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -26,33 +26,33 @@
 /// What one office of a zone reports to another about one budget. Each message holds the whole state between the two
 /// offices, so that any message may be lost, duplicated or overtaken by a later one.
 struct LeaseMessage {
-  int from = 0;                   ///< Place of the sender.
-  int zone = 0;                   ///< Zone that the budget leads to.
-  std::uint64_t incarnation = 0;  ///< When the sender's process started, in microseconds on its own clock.
-  std::int64_t sentAt = 0;        ///< Microseconds on the sender's clock; grows from message to message.
-  std::int64_t echoedSentAt = 0;  ///< `sentAt` of the newest message that the sender has received from the receiver.
+  int from = 0;                   // place of the sender
+  int zone = 0;                   // zone that the budget leads to
+  std::uint64_t incarnation = 0;  // when the sender's process started, in microseconds on its own clock
+  std::int64_t sentAt = 0;        // microseconds on the sender's clock; grows from message to message
+  std::int64_t echoedSentAt = 0;  // `sentAt` of the newest message that the sender has received from the receiver.
   // The sender as a lender.
-  std::uint64_t grantSerial = 0;  ///< Grows with each grant; 0: the sender does not know yet what it has lent.
-  Units granted;                  ///< Total granted to the receiver under `grantSerial`.
-  Units spare;                    ///< Could be lent in addition.
-  Units recalled;                 ///< Part of `granted` that the lender wants back.
-  bool contended = false;         ///< Another borrower asks for more than can be lent: return what can be spared.
+  std::uint64_t grantSerial = 0;  // grows with each grant; 0: the sender does not know yet what it has lent
+  Units granted;                  // total granted to the receiver under `grantSerial`
+  Units spare;                    // could be lent in addition
+  Units recalled;                 // part of `granted` that the lender wants back
+  bool contended = false;         // another borrower asks for more than can be lent: return what can be spared
   // The sender as a borrower.
-  std::uint64_t seenSerial = 0;  ///< Newest `grantSerial` that the sender has received.
-  Units borrowed;                ///< What the sender holds of the grant with that serial.
-  Units requested;               ///< Total that the sender wants to hold.
+  std::uint64_t seenSerial = 0;  // newest `grantSerial` that the sender has received
+  Units borrowed;                // what the sender holds of the grant with that serial
+  Units requested;               // total that the sender wants to hold
 };
 
 /// Intervals and time limits of lending.
 struct LeaseTiming {
-  Span messageInterval = Span::ms(1000);   ///< Each peer is sent a message at least this often.
-  Span minMessageInterval = Span::ms(50);  ///< Messages to one peer are at least this far apart.
-  Span leaseTerm = Span::ms(10000);        ///< After this much silence of the lender no new session uses its loan.
-  Span demandWindow = Span::ms(3000);      ///< Demand is the maximum held within this window.
+  Span messageInterval = Span::ms(1000);   // each peer is sent a message at least this often
+  Span minMessageInterval = Span::ms(50);  // messages to one peer are at least this far apart
+  Span leaseTerm = Span::ms(10000);        // after this much silence of the lender no new session uses its loan
+  Span demandWindow = Span::ms(3000);      // demand is the maximum held within this window
   /// No session is admitted for this long after a start: peers send each other heartbeats every second, and drop the
   /// sessions that were established over an office that has restarted.
   Span startupDelay = Span::ms(1200);
-  double maxClockDrift = 0.01;  ///< Rates of two offices' clocks differ by no more than this share.
+  double maxClockDrift = 0.01;  // rates of two offices' clocks differ by no more than this share
   /// After the lease term a lender waits this long before it writes off a silent borrower's loan. By then most
   /// sessions that were established on the loan have ended: after three mean hold times of the longest service 5% of
   /// them are left, and the constructor raises the delay to that span.
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -19,9 +19,9 @@
 
 /// Usage sums. All are integers, so that sums over parts add up exactly.
 struct UsageTotals {
-  std::uint64_t invites = 0;
-  std::uint64_t established = 0;
-  std::uint64_t dropped = 0;
+  std::uint64_t invites = 0;              // INVITEs sent
+  std::uint64_t established = 0;          // sessions that were established
+  std::uint64_t dropped = 0;              // established sessions that were dropped
   std::uint64_t refused = 0;              // for lack of budget; no INVITE was sent
   std::uint64_t circuitMicroseconds = 0;  // circuits held times the time they were held
 
@@ -48,6 +48,7 @@
   const UsageTotals* find(std::uint64_t number) const {
     return number > newest_ || number + N <= newest_ ? nullptr : &buckets_[number % N];
   }
+  /// Number of intervals kept.
   static constexpr std::size_t capacity() { return N; }
 
  private:
@@ -72,7 +73,9 @@
   /// Adds the circuit time up to `now`. All functions above call it; a reader calls it before it reads.
   void accrue(Instant now);
 
+  /// Sums since the cell was created.
   const UsageTotals& total() const { return total_; }
+  /// Circuits held now.
   int held() const { return held_; }
   const Ring<300>& seconds() const { return seconds_; }
   const Ring<240>& minutes() const { return minutes_; }
@@ -102,6 +105,7 @@
 /// are at most zones x services x 3 of them, since an office sends from one zone.
 class UsageLedger {
  public:
+  /// The cell for `key`, which is created if there is none.
   UsageCell& cell(const UsageKey& key);
   const std::map<UsageKey, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
   /// Adds the circuit time of all cells up to `now`.
--- a/src/zones/peer_usage.hpp
+++ b/src/zones/peer_usage.hpp
@@ -20,8 +20,8 @@
   /// Records that `office` (a place) runs as `incarnation`, the start of its process by its own clock. The usage of
   /// earlier incarnations is reported by inherited() from now on. An older incarnation than the known one is ignored.
   void recordIncarnation(int office, std::uint64_t incarnation);
-  /// The sums for a leg received from that incarnation of `office`; calls recordIncarnation(). The reference stays
-  /// valid until a newer incarnation is recorded.
+  /// The sums for a leg received from that incarnation of `office`; those of an older incarnation than the known one
+  /// are in inherited(). Calls recordIncarnation(). The reference stays valid until a newer incarnation is recorded.
   UsageTotals& totalsFor(int office, std::uint64_t incarnation, const UsageKey& key);
   /// Usage that earlier incarnations of other offices sent here.
   const std::map<UsageKey, UsageTotals>& inherited() const { return inherited_; }
@@ -31,8 +31,8 @@
     std::uint64_t incarnation = 0;
     std::map<UsageKey, UsageTotals> totals;
   };
-  std::map<int, UsageReplica>
-      replicas_;  // by place; each has as many cells as the office's own account has towards this zone
+  // By place. Each replica has as many cells as that office's own account has towards this zone.
+  std::map<int, UsageReplica> replicas_;
   std::map<UsageKey, UsageTotals> inherited_;
 };
 
--- a/src/zones/top_users.hpp
+++ b/src/zones/top_users.hpp
@@ -15,6 +15,7 @@
 /// which is at most total() / capacity(). Every user with a larger sum than that quotient is in the sketch.
 class TopUsers {
  public:
+  /// One user's entry.
   struct User {
     std::string name;
     std::uint64_t sum = 0;
@@ -59,6 +60,7 @@
   }
   /// Sum of all amounts added.
   std::uint64_t total() const { return total_; }
+  /// Number of users that are kept.
   std::size_t capacity() const { return capacity_; }
 
  private:
