--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -56,12 +56,12 @@
     }
     for (int i = 0; i < scenario_.offices; ++i) start(i);
     drawLoadShares();
-    double circuitSeconds = 0, all = 0;  // mean circuit-seconds per session, times the sum of the shares
+    double circuitSeconds = 0, shareSum = 0;  // mean circuit-seconds per session, times the sum of the shares
     for (std::size_t s = 0; s < scenario_.services.size(); ++s) {
       circuitSeconds += scenario_.shares[s] * scenario_.services[s].width * scenario_.services[s].meanHold.ms() / 1000;
-      all += scenario_.shares[s];
+      shareSum += scenario_.shares[s];
     }
-    arrivalRate_ = scenario_.load * scenario_.circuits * all / circuitSeconds;
+    arrivalRate_ = scenario_.load * scenario_.circuits * shareSum / circuitSeconds;
     at(Span::ms(2000), [this] { arrival(); });
     for (const ZoneFault& one : scenario_.faults) at(one.at, [this, &one] { injectFault(one); });
     if (scenario_.redrawInterval > Span::none()) at(scenario_.redrawInterval, [this] { redrawShares(); });
@@ -207,12 +207,12 @@
 
   void arrival() {
     at(Span::ms(exponential(1000 / arrivalRate_)), [this] { arrival(); });
-    double pick = uniform();
+    double officeDraw = uniform();
     int i = 0;
-    while (i + 1 < scenario_.offices && (pick -= office(i).loadShare) > 0) ++i;
-    double service = uniform();
+    while (i + 1 < scenario_.offices && (officeDraw -= office(i).loadShare) > 0) ++i;
+    double serviceDraw = uniform();
     std::size_t s = 0;
-    while (s + 1 < scenario_.services.size() && (service -= scenario_.shares[s]) > 0) ++s;
+    while (s + 1 < scenario_.services.size() && (serviceDraw -= scenario_.shares[s]) > 0) ++s;
     Office& one = office(i);
     // Callers of an office that is down get no service whatever the budget, so they do not count.
     if (!one.isAlive || one.isFrozen) return;
--- a/src/zones/lease.cpp
+++ b/src/zones/lease.cpp
@@ -81,14 +81,14 @@
   if (!inStartupWait_) return;
   if (budget_ && now < startedAt_ + timing_.startupDelay) return;
   const bool all = std::all_of(peers_.begin(), peers_.end(), [](const ZonePeer& one) { return one.isKnown; });
-  if (hasPeersToMessage() && !all &&
+  if (exchangesMessages() && !all &&
       now < startedAt_ + timing_.leaseTerm * (1 + timing_.maxClockDrift) + kClockGranularity)
     return;
   inStartupWait_ = false;
 }
 
 /// Whether messages are exchanged. With equal parts they only settle what is left of earlier loans.
-bool LeasedBudget::hasPeersToMessage() const {
+bool LeasedBudget::exchangesMessages() const {
   if (!budget_) return false;
   if (budget_->division == Division::lending) return true;
   const auto any = [](const Units& units) {
@@ -488,7 +488,7 @@
 std::vector<std::pair<int, LeaseMessage>> LeasedBudget::process(Instant now) {
   std::vector<std::pair<int, LeaseMessage>> messages;
   updateStartupWait(now);
-  if (!hasPeersToMessage()) {
+  if (!exchangesMessages()) {
     // The last of earlier loans may just have been returned.
     unprocessedSince_ = Instant::never();
     updateBounds(now);
@@ -543,7 +543,7 @@
     due = lastProcessedAt_ < startedAt_ + timing_.startupDelay
               ? startedAt_ + timing_.startupDelay
               : startedAt_ + timing_.leaseTerm * (1 + timing_.maxClockDrift) + kClockGranularity;
-  if (!hasPeersToMessage()) return due;
+  if (!exchangesMessages()) return due;
   for (const ZonePeer& peer : peers_)
     due = std::min(due, peer.lastSentAt + (peer.messageDue ? timing_.minMessageInterval : timing_.messageInterval));
   return due;
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -147,7 +147,7 @@
 
   std::size_t size() const { return 1 + 2 * services_.size(); }
   Units noUnits() const { return Units(size(), 0); }
-  bool hasPeersToMessage() const;
+  bool exchangesMessages() const;
   void updateStartupWait(Instant now);
   void updateBounds(Instant now);
   void returnSurplus(Instant now);
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -192,8 +192,8 @@
   BudgetPart part({{1, 1, Span::ms(10000)}, {2, 5, Span::ms(10000)}});
   part.setBounds(Bounds{20, {}});
   part.recordRequest(kNow, 1);
-  CHECK(fill(part, 0) ==
-        17);  // two for the widest, two for the higher-value service: 4 are free when the 17th is admitted
+  // Two for the widest, two for the higher-value service: 4 are free when the 17th is admitted.
+  CHECK(fill(part, 0) == 17);
   CHECK(fill(part, 1) == 1);
   part.release(0);
   CHECK_FALSE(part.admits(kNow, 0));
