--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -212,7 +212,7 @@
         tolerated = std::max(inUse, change.circuits);
         limit = change.circuits;
         peak = 0;
-        enforcedFrom = budget.overrun == zones::Overrun::end ? change.at + kBudgetEndTime : Instant::never();
+        enforcedFrom = budget.overrun == zones::OverrunPolicy::end ? change.at + kBudgetEndTime : Instant::never();
       }
       inUse = circuits;
       if (at >= enforcedFrom && enforcedFrom != Instant::longAgo()) tolerated = 0;
--- a/src/zones/ledger.cpp
+++ b/src/zones/ledger.cpp
@@ -15,15 +15,15 @@
 
 UsageTotals& UsageTotals::operator+=(const UsageTotals& other) {
   invites += other.invites;
-  stood += other.stood;
-  cut += other.cut;
+  established += other.established;
+  dropped += other.dropped;
   refused += other.refused;
   circuitMicroseconds += other.circuitMicroseconds;
   return *this;
 }
 
-// Each change goes to all levels at once. Rolling seconds up into minutes when they close would save two additions and
-// lose what a level already dropped.
+// Each change is added to all levels at once. Adding seconds to their minute only when it is complete would save two
+// additions but lose seconds that their ring has already overwritten.
 template <typename Change>
 void UsageCell::add(std::uint64_t at, Change change) {
   change(total_);
@@ -32,53 +32,53 @@
   if (UsageTotals* bucket = hours_.at(at / kHour)) change(*bucket);
 }
 
-void UsageCell::settle(Instant now) {
+void UsageCell::accrue(Instant now) {
   const std::uint64_t until = microseconds(now);
-  // A clock that went back adds nothing and takes nothing away.
-  while (settledAt_ < until) {
-    // Nothing is held: nothing to add, whatever the time.
-    const std::uint64_t end = held_ == 0 ? until : std::min(until, (settledAt_ / kSecond + 1) * kSecond);
+  // A clock that goes back changes nothing.
+  while (accruedAt_ < until) {
+    // If nothing is held there is nothing to add, so that idle time is skipped in one step.
+    const std::uint64_t end = held_ == 0 ? until : std::min(until, (accruedAt_ / kSecond + 1) * kSecond);
     const std::uint64_t circuits = static_cast<std::uint64_t>(held_);
     if (held_ > 0)
-      add(settledAt_, [&](UsageTotals& sums) { sums.circuitMicroseconds += circuits * (end - settledAt_); });
-    settledAt_ = end;
+      add(accruedAt_, [&](UsageTotals& totals) { totals.circuitMicroseconds += circuits * (end - accruedAt_); });
+    accruedAt_ = end;
   }
 }
 
 void UsageCell::invited(Instant now, int circuits) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.invites; });
+  accrue(now);
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.invites; });
   held_ += circuits;
 }
 
-void UsageCell::stood(Instant now) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.stood; });
+void UsageCell::established(Instant now) {
+  accrue(now);
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.established; });
 }
 
-void UsageCell::cut(Instant now) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.cut; });
+void UsageCell::dropped(Instant now) {
+  accrue(now);
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.dropped; });
 }
 
 void UsageCell::refused(Instant now) {
-  settle(now);
-  add(settledAt_, [](UsageTotals& sums) { ++sums.refused; });
+  accrue(now);
+  add(accruedAt_, [](UsageTotals& totals) { ++totals.refused; });
 }
 
 void UsageCell::released(Instant now, int circuits) {
-  settle(now);
+  accrue(now);
   held_ -= circuits;
 }
 
-UsageCell& UsageLedger::cell(const Key& key) {
-  auto& one = cells_[key];
-  if (one == nullptr) one = std::make_unique<UsageCell>();
-  return *one;
+UsageCell& UsageLedger::cell(const UsageKey& key) {
+  auto& entry = cells_[key];
+  if (entry == nullptr) entry = std::make_unique<UsageCell>();
+  return *entry;
 }
 
-void UsageLedger::settle(Instant now) {
-  for (auto& [key, cell] : cells_) cell->settle(now);
+void UsageLedger::accrue(Instant now) {
+  for (auto& [key, cell] : cells_) cell->accrue(now);
 }
 
 }  // namespace thistlefold::zones
