--- a/include/thistlefold/exchange.hpp
+++ b/include/thistlefold/exchange.hpp
@@ -13,7 +13,7 @@
 
 /// What this office has seen of the leg between a tandem and a destination.
 struct FarLeg {
-  Instant turnedBack = Instant::longAgo();
+  Instant turnedBack = Instant::distantPast();
   bool carried = false;  // a session stood over it
 };
 
@@ -30,22 +30,22 @@
   bool own = false;
 
   Readiness readiness = Readiness::gone;
-  Instant started = Instant::longAgo();
+  Instant started = Instant::distantPast();
   UsualDemand usualDemand;  // when it started; not known where this office had not run for long enough
 
   double freeCircuits = 0;                              // of the group between here and there
   double circuits = -1;                                 // below zero: not told yet
   std::unordered_map<const Exchange*, FarLeg> farLegs;  // by destination; looked up, never walked
 
-  Samples<bool, 12> directOutcomes;            // outcomes as a destination: answered in any way, or not
-  Samples<bool, 12> tandemOutcomes;            // outcomes as a tandem
-  Instant suspectedAt = Instant::longAgo();    // a direct session went unanswered or was cut, none was answered since
-  Samples<Span, 8> postDialDelays;             // of sessions that stood
-  Samples<double, 16> reportedCapacity;        // set-ups a second that its processor said it can take
-  Samples<Instant, 128> inviteTimes;           // INVITEs that went to or through it
-  std::vector<const Session*> pendingInvites;  // INVITEs out, oldest first
-  Instant blockedUntil = Instant::longAgo();
-  Instant lastProbe = Instant::longAgo();
+  Samples<bool, 12> directOutcomes;              // outcomes as a destination: answered in any way, or not
+  Samples<bool, 12> tandemOutcomes;              // outcomes as a tandem
+  Instant suspectedAt = Instant::distantPast();  // a direct session went unanswered or was cut, none was answered since
+  Samples<Span, 8> postDialDelays;               // of sessions that stood
+  Samples<double, 16> reportedCapacity;          // set-ups a second that its processor said it can take
+  Samples<Instant, 128> inviteTimes;             // INVITEs that went to or through it
+  std::vector<const Session*> pendingInvites;    // INVITEs out, oldest first
+  Instant blockedUntil = Instant::distantPast();
+  Instant lastProbe = Instant::distantPast();
 };
 
 }  // namespace thistlefold
--- a/include/thistlefold/office_config.hpp
+++ b/include/thistlefold/office_config.hpp
@@ -20,7 +20,7 @@
 /// What one office is told when it is put into service.
 struct OfficeConfig {
   std::vector<Service> services;
-  bool pools = false;
+  bool usesPools = false;
   int fleetSize = 0;  // of the whole fleet; none: not told
   int maxInvites = 1;
   bool mustSubscribe = false;  // the directory tells only those who asked
--- a/include/thistlefold/session.hpp
+++ b/include/thistlefold/session.hpp
@@ -18,7 +18,7 @@
   Instant timerLimit;
   std::uint64_t dialledNumber = 0;
   bool transit = false;
-  bool wasCut = false;
+  bool isReconnect = false;
 
   Instant firstDialledAt;    // when the first try for it came
   Instant nextDecisionAt;    // when it is to be looked at next
--- a/include/thistlefold/time.hpp
+++ b/include/thistlefold/time.hpp
@@ -32,7 +32,7 @@
  public:
   constexpr Instant() = default;
   static constexpr Instant ms(double value) { return Instant(Span::ms(value).us_); }
-  static constexpr Instant longAgo() { return Instant(INT64_MIN / 4); }
+  static constexpr Instant distantPast() { return Instant(INT64_MIN / 4); }
   static constexpr Instant never() { return Instant(INT64_MAX / 4); }
 
   friend constexpr auto operator<=>(Instant, Instant) = default;
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -551,7 +551,7 @@
   std::vector<std::vector<Told>> told_;
   struct Last {
     std::uint64_t directory = 0, version = 0;
-    Instant at = Instant::longAgo();
+    Instant at = Instant::distantPast();
   };
   std::map<int, Last> lists_;
   std::vector<std::vector<std::pair<Instant, Instant>>> frozen_, down_;
--- a/src/bench_adapter/bench_adapter.cpp
+++ b/src/bench_adapter/bench_adapter.cpp
@@ -112,7 +112,8 @@
 class Office final : public RoundEvents {
  public:
   explicit Office(const Value& start)
-      : data_(readOfficeConfig(object(start, "Conf"))), registry_(data_.pools ? -1 : ownPlace(object(start, "Conf"))) {
+      : data_(readOfficeConfig(object(start, "Conf"))),
+        registry_(data_.usesPools ? -1 : ownPlace(object(start, "Conf"))) {
     const Value& seed = requireField(start, "InitSeed");
     if (!seed.IsUint64() && !seed.IsInt64()) failField("InitSeed", "a whole number is wanted");
     const std::uint64_t from = seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
@@ -139,7 +140,7 @@
         const auto it = sessions_.find(std::string(name(fields, "Ticket")));
         if (it != sessions_.end()) controller_->sessionAbandoned(*it->second);
       } else if (event.name == "ECHO") {
-        feedback(registry_.exchange(exchangeId(fields)), object(fields, "Feedback"));
+        feedback(registry_.findOrCreate(exchangeId(fields)), object(fields, "Feedback"));
       } else if (event.name == "MEMBERS") {
         members(fields, event.list.get());
       }  // TICK_DUE: the round itself is what was asked for. MESSAGE: offices tell each other nothing.
@@ -181,10 +182,10 @@
     }
     session->service = &data_.services[static_cast<std::size_t>(category)];
     session->width = number(fields, "Width", 1);
-    session->destination = registry_.at(number(fields, "FarEnd", -1));
+    session->destination = registry_.atPlace(number(fields, "FarEnd", -1));
     const int bits = integer(fields, "Bits", 0);
     session->transit = (bits & 8) != 0;
-    session->wasCut = (bits & 16) != 0;
+    session->isReconnect = (bits & 16) != 0;
     session->timerLimit = Instant::ms(number(fields, "Deadline"));
     const std::string_view item = name(fields, "Item", "0");
     const auto read = std::from_chars(item.data(), item.data() + item.size(), session->dialledNumber, 16);
@@ -195,7 +196,7 @@
   }
 
   void ended(const Value& fields) {
-    ListedExchange* at = registry_.known(exchangeId(fields));
+    ListedExchange* at = registry_.find(exchangeId(fields));
     Session* session = ofLastInvite(fields);
     if (session == nullptr) return;
     if (at == nullptr) {
@@ -247,7 +248,7 @@
     for (const Value& entry : list->GetArray()) {
       ListEntry line;
       line.id = exchangeId(entry);
-      line.placed = find(entry, "PlaceNo") != nullptr;
+      line.hasPlace = find(entry, "PlaceNo") != nullptr;
       line.place = integer(entry, "PlaceNo", -1);
       const int readiness = integer(entry, "Readiness");
       if (readiness != 2 && readiness != 0 && readiness != 3) failField("Readiness", "no such state");
@@ -256,7 +257,7 @@
       if (started > 0) line.started = Instant::ms(started);
       lines.push_back(line);
     }
-    registry_.list(*controller_, lines, mode != 0);
+    registry_.applyList(*controller_, lines, mode != 0);
   }
 
   OfficeConfig data_;
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -183,7 +183,7 @@
     const auto& to = names[static_cast<std::size_t>(budget.to)];
     const auto found = report.findings.out.find({from, to});
     int whole = budget.circuits, most = 0, out = 0, letBe = 0;
-    Instant obeyedFrom = Instant::longAgo();
+    Instant obeyedFrom = Instant::distantPast();
     std::size_t next = 0;
     static const std::vector<std::pair<Instant, int>> kNone;
     const auto& changes = found == report.findings.out.end() ? kNone : found->second;
@@ -205,7 +205,7 @@
         obeyedFrom = budget.overrun == zones::Overrun::end ? change.at + kEndsWithin : Instant::never();
       }
       out = now;
-      if (at >= obeyedFrom && obeyedFrom != Instant::longAgo()) letBe = 0;
+      if (at >= obeyedFrom && obeyedFrom != Instant::distantPast()) letBe = 0;
       most = std::max(most, now);
       if (now > std::max(whole, letBe) && !std::exchange(passed, true)) {
         report.crossings.push_back("budget passed: " + from + " to " + to + ": " + std::to_string(now) +
--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -362,7 +362,7 @@
   std::vector<int> mates_;
   std::priority_queue<Event> events_;
   Instant now_;
-  Instant settling_ = Instant::longAgo();
+  Instant settling_ = Instant::distantPast();
   std::uint64_t order_ = 0, lives_ = 0, sessions_ = 0, refusals_ = 0;
   double rate_ = 1, over_ = 0, idle_ = 0;
   int ghosts_ = 0, lastOver_ = 0;
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -50,14 +50,15 @@
   const Place& site;
   TrunkGroup trunk;
   Readiness told = Readiness::gone;
-  std::uint64_t start = 0;               // the directory's mark of its processor
-  std::uint64_t mark = 0;                // its own mark, from PONG
-  Instant aliveAt = Instant::longAgo();  // when the newest POKE was sent that it has answered
-  Instant heardAt = Instant::longAgo();  // silence counts from here: aliveAt, or when this office could listen again
-  Instant pokedAt = Instant::longAgo();
+  std::uint64_t start = 0;                   // the directory's mark of its processor
+  std::uint64_t mark = 0;                    // its own mark, from PONG
+  Instant aliveAt = Instant::distantPast();  // when the newest POKE was sent that it has answered
+  Instant heardAt =
+      Instant::distantPast();  // silence counts from here: aliveAt, or when this office could listen again
+  Instant pokedAt = Instant::distantPast();
   bool silent = false;
   double canTake = -1;
-  Instant canTakeAt = Instant::longAgo();
+  Instant canTakeAt = Instant::distantPast();
   bool isChanged = false;
   int shownFree = -1, shownSize = -1;  // what the module was told of the group last
   bool shut = false;  // shown without circuits for one round: the budget has none for a service that was sent here
@@ -244,7 +245,7 @@
   held.width = fleet_.offeredServices[held.offer].width;
   const int destination = fleet_.destination(held.called);
   held.destination = destination < 0 ? nullptr : peers_[static_cast<std::size_t>(destination)].get();
-  held.wasCut = e.wasCut.value_or(false);
+  held.isReconnect = e.wasCut.value_or(false);
   held.in = &newLeg(held, call, nullptr, 0, false);
   ++counters_.dialled;
   tell(OfficeEvent::What::taken, &held, nullptr, "");
@@ -1160,7 +1161,7 @@
                                                : "gone")
         << "\",\"own\":" << (peer.own ? "true" : "false") << ",\"circuits\":" << peer.trunk.size()
         << ",\"free\":" << peer.trunk.free() << ",\"silent\":" << (peer.silent ? "true" : "false")
-        << ",\"doubtful\":" << (peer.suspectedAt != Instant::longAgo() ? "true" : "false")
+        << ",\"doubtful\":" << (peer.suspectedAt != Instant::distantPast() ? "true" : "false")
         << ",\"ringing\":" << peer.pendingInvites.size() << '}';
   }
   out << "]}";
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -173,12 +173,12 @@
   std::vector<Event> events_;
   std::vector<Peer*> changed_;
   std::vector<std::pair<iax2::Address, std::string>> texts_;  // to the directory and to offices of the own zone
-  Instant wakeAt_ = Instant::longAgo();
-  Instant pokeAt_ = Instant::longAgo();
+  Instant wakeAt_ = Instant::distantPast();
+  Instant pokeAt_ = Instant::distantPast();
   Instant askedAt_ = Instant::never();
   std::uint64_t listFrom_ = 0;
   std::uint64_t listVersion_ = 0;
-  Instant listAt_ = Instant::longAgo();  // when that came
+  Instant listAt_ = Instant::distantPast();  // when that came
   std::uint64_t startMark_;
   std::uint32_t serial_ = 0;
   std::size_t standing_ = 0;
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -18,7 +18,7 @@
   return value;
 }
 
-Instant started(double unixMs) { return unixMs > 0 ? Instant::ms(unixMs) : Instant::longAgo(); }
+Instant started(double unixMs) { return unixMs > 0 ? Instant::ms(unixMs) : Instant::distantPast(); }
 
 }  // namespace
 
@@ -63,7 +63,7 @@
       return std::nullopt;
     }
     place.entry.readiness = state == 0 ? Readiness::ready : state == 1 ? Readiness::draining : Readiness::gone;
-    place.entry.placed = true;
+    place.entry.hasPlace = true;
     place.entry.place = static_cast<int>(number(record.substr(13, 2)));
     place.entry.started = started(static_cast<double>(number(record.substr(19, 8))));
     event.places.push_back(place);
@@ -98,7 +98,7 @@
       place.entry.readiness = state == "ready"      ? Readiness::ready
                               : state == "draining" ? Readiness::draining
                                                     : Readiness::gone;
-      place.entry.placed = wire::find(target, "pod_group") != nullptr;
+      place.entry.hasPlace = wire::find(target, "pod_group") != nullptr;
       place.entry.place = wire::integer(target, "pod_group", -1);
       place.entry.started = started(wire::number(target, "boot_ms", 0));
       event.places.push_back(place);
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -164,11 +164,11 @@
   call.serviceAt = serviceAt;
   call.service = &deployment_.data.services[serviceAt];
   call.width = width;
-  call.destination = registry_.at(*dest);
+  call.destination = registry_.atPlace(*dest);
   call.timerLimit = std::min(now_ + Span::ms(*left), leaveAt_ - kLeaveTaking * 0.5);
   call.dialledNumber = *number;
   call.transit = figureOf("transit").value_or(0) == 1;
-  call.wasCut = figureOf("again").value_or(0) == 1;
+  call.isReconnect = figureOf("again").value_or(0) == 1;
   call.caller = &side;
   ++side.open;
   ++openCalls_;
@@ -181,7 +181,7 @@
 // nothing of it; only its end is passed on.
 void Softswitch::standsAlready(CallerSide& side, const Message& message, std::string_view at) {
   const auto id = readExchangeId(at);
-  auto* peer = id ? static_cast<Peer*>(registry_.known(*id)) : nullptr;
+  auto* peer = id ? static_cast<Peer*>(registry_.find(*id)) : nullptr;
   if (const auto held = calls_.find(message.id); held != calls_.end()) {
     if (held->second->state == Call::State::standing && held->second->peer == peer) {
       side.proven = side.trusted = true;
--- a/src/platform/deployment.cpp
+++ b/src/platform/deployment.cpp
@@ -43,7 +43,7 @@
   out.known = readKnown(object(read, "known"));
   const Value& settings = object(read, "settings");
   out.data = readOfficeConfig(settings);
-  out.here = out.data.pools ? -1 : ownPlace(settings);
+  out.here = out.data.usesPools ? -1 : ownPlace(settings);
   const Value& widths = array(object(settings, "FamilyInfo"), "ChannelsNeeded");
   const Value& grades = array(settings, "Grades");
   for (rapidjson::SizeType i = 0; i < grades.Size(); ++i) {
--- a/src/platform/sides.hpp
+++ b/src/platform/sides.hpp
@@ -63,12 +63,12 @@
   std::vector<std::unique_ptr<TrunkSide>> sides;
   std::vector<std::pair<std::string, int>> owed;  // releases to write on the next connection
   std::vector<Call*> standing;
-  Instant nextDial = Instant::longAgo();
-  Instant anewAt = Instant::longAgo();  // told of another process there
+  Instant nextDial = Instant::distantPast();
+  Instant anewAt = Instant::distantPast();  // told of another process there
   Span redial = kRedialFirst;
   Instant refusedSince = Instant::never();  // none stands and connections are refused
-  Instant alive = Instant::longAgo();       // it said something, or took a connection
-  Instant triedAt = Instant::longAgo();
+  Instant alive = Instant::distantPast();   // it said something, or took a connection
+  Instant triedAt = Instant::distantPast();
   int untaken = 0;  // connections that did not come up since it was alive
 };
 
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -31,7 +31,7 @@
   bool lost = false;  // since it was told of
   std::uint64_t last = 0;
   std::optional<std::uint64_t> gapAfter;  // the last event when one was found missing
-  Instant nextDial = Instant::longAgo();
+  Instant nextDial = Instant::distantPast();
   Span redial = kRedialBulletin;
   Instant silentAt = Instant::never();
 };
@@ -200,20 +200,20 @@
     for (const Place& place : event.places) {
       lines.push_back(place.entry);
       // One that has gone is where it was, or nowhere if another took its place: it must not be looked for there again.
-      if (place.entry.readiness == Readiness::gone && registry_.known(place.entry.id) != nullptr) continue;
-      auto& peer = static_cast<Peer&>(registry_.exchange(place.entry.id));
+      if (place.entry.readiness == Readiness::gone && registry_.find(place.entry.id) != nullptr) continue;
+      auto& peer = static_cast<Peer&>(registry_.findOrCreate(place.entry.id));
       const bool anew = place.entry.started > peer.started || !(peer.address == place.address);
       peer.address = place.address;
       if (anew) {
         peer.anewAt = now_;
-        peer.nextDial = Instant::longAgo();
+        peer.nextDial = Instant::distantPast();
         peer.redial = kRedialFirst;
         // Its processor is another now; what stood on the one before is over.
-        if (place.entry.started > Instant::longAgo()) cutStanding(peer, place.entry.started);
+        if (place.entry.started > Instant::distantPast()) cutStanding(peer, place.entry.started);
       }
     }
     events_.push_back([this, lines, whole = event.whole](Controller& to) {
-      registry_.list(to, lines, whole);
+      registry_.applyList(to, lines, whole);
       // No group leads to the own exchange, which nothing else would tell: no connection goes there.
       for (const auto& [id, listed] : registry_.all()) {
         if (listed->own && listed->circuits < 0) to.circuitsChanged(*listed, 0, 0);
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -140,8 +140,8 @@
   std::size_t descriptions_ = 0;  // bytes of those of open set-ups
   std::size_t trunkCount_ = 0;
   Instant now_;
-  Instant wakeAt_ = Instant::longAgo();
-  Instant keptAt_ = Instant::longAgo();
+  Instant wakeAt_ = Instant::distantPast();
+  Instant keptAt_ = Instant::distantPast();
   bool parted_ = false;
   Instant stoppingSince_ = Instant::never(), leaveAt_ = Instant::never();
 };
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -25,7 +25,7 @@
   void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
     sink_ = &sink;
-    lateBy_ = beatAt_ == Instant::longAgo() || now_ < beatAt_ + kBeat ? Span::none() : now_ - beatAt_;
+    lateBy_ = beatAt_ == Instant::distantPast() || now_ < beatAt_ + kBeat ? Span::none() : now_ - beatAt_;
     if (data_.mustSubscribe && askAt_ <= now_) subscribe();
     events.deliver(*this);
     if (data_.mustSubscribe && askAt_ <= now_) subscribe();
@@ -64,8 +64,8 @@
       exchange.tandemOutcomes.clear();
       exchange.postDialDelays.clear();
       exchange.reportedCapacity.clear();
-      exchange.suspectedAt = Instant::longAgo();
-      exchange.blockedUntil = Instant::longAgo();
+      exchange.suspectedAt = Instant::distantPast();
+      exchange.blockedUntil = Instant::distantPast();
     }
     exchange.readiness = readiness;
     if (started > exchange.started) {
@@ -178,13 +178,13 @@
 
   void place(Session& session) {
     Exchange& destination = *session.destination;
-    if (!data_.pools && !sound(session, destination)) return refuse(session, comeBack());
-    if (!data_.pools && pressed(session, destination)) return refuse(session, comeBackSoon(session));
-    if (!data_.pools && lessThanUsual(session, destination)) return refuse(session, comeBackSoon(session));
-    if (!data_.pools && !withinColdPart(session, destination)) return refuse(session, comeBackSoon(session));
+    if (!data_.usesPools && !sound(session, destination)) return refuse(session, comeBack());
+    if (!data_.usesPools && pressed(session, destination)) return refuse(session, comeBackSoon(session));
+    if (!data_.usesPools && lessThanUsual(session, destination)) return refuse(session, comeBackSoon(session));
+    if (!data_.usesPools && !withinColdPart(session, destination)) return refuse(session, comeBackSoon(session));
     if (own_ != nullptr && !withinColdPart(session, *own_)) return refuse(session, comeBackSoon(session));
     if (linesBusy(session)) return refuse(session, comeBackSoon(session));
-    const bool direct = !data_.pools || (fit(session, destination) && !tried(session, destination));
+    const bool direct = !data_.usesPools || (fit(session, destination) && !tried(session, destination));
     if (direct && hasRoom(session, destination)) {
       if (invite(session, destination)) return;
       return refuse(session, comeBack());
@@ -241,15 +241,15 @@
     double least = 0;
     for (Exchange* tandem : exchanges_) {
       if (tandem == session.destination || tandem->own || tried(session, *tandem)) continue;
-      if (data_.pools && !skilled(session, *tandem)) continue;
+      if (data_.usesPools && !skilled(session, *tandem)) continue;
       if (!hasRoom(session, *tandem)) continue;
       // What a cold processor can do is kept for the sessions that start or end there: its groups are empty
       // and so the cheapest to everyone at once.
-      if (!data_.pools && cold(*tandem)) continue;
+      if (!data_.usesPools && cold(*tandem)) continue;
       const double add = share(session, *tandem);
-      const double far = data_.pools ? 0 : farShare(*tandem, *session.destination);
-      if (busyShare(*tandem) + add > kCap || (!data_.pools && far + add > kCap)) continue;
-      const double price = cost(busyShare(*tandem), add) + (data_.pools ? 0 : cost(far, add));
+      const double far = data_.usesPools ? 0 : farShare(*tandem, *session.destination);
+      if (busyShare(*tandem) + add > kCap || (!data_.usesPools && far + add > kCap)) continue;
+      const double price = cost(busyShare(*tandem), add) + (data_.usesPools ? 0 : cost(far, add));
       if ((best != nullptr && price >= least) || !fit(session, *tandem)) continue;
       best = tandem;
       least = price;
@@ -278,7 +278,7 @@
     if (twoLegs(session, to) && !withinColdPart(session, *session.destination)) return false;
     if (own_ != nullptr && !session.transit && !withinColdPart(session, *own_)) return false;
     to.inviteTimes.add(now_, now_);
-    if (&to != session.destination && !data_.pools) session.destination->inviteTimes.add(now_, now_);
+    if (&to != session.destination && !data_.usesPools) session.destination->inviteTimes.add(now_, now_);
     if (own_ != nullptr && !session.transit) own_->inviteTimes.add(now_, now_);
     ++session.invites;
     session.pendingAt = &to;
@@ -354,7 +354,7 @@
     const auto was = std::find_if(refused_.begin(), refused_.end(), [&](const Refused& one) {
       return one.number == session.dialledNumber && one.service == session.service;
     });
-    if (session.wasCut || was == refused_.end()) return now_;
+    if (session.isReconnect || was == refused_.end()) return now_;
     const Instant dialled = was->dialled;
     refused_.erase(was);
     return dialled;
@@ -419,7 +419,7 @@
     if (!answered && answeredSince(at, session.sentAt)) return;
     const bool relay = twoLegs(session, at);
     (relay ? at.tandemOutcomes : at.directOutcomes).add(now_, answered);
-    if (!relay) at.suspectedAt = answered ? Instant::longAgo() : now_;
+    if (!relay) at.suspectedAt = answered ? Instant::distantPast() : now_;
   }
 
   // Who answers others in the meantime is slow, not silent: that is for the delays to tell. Guards against
@@ -485,7 +485,7 @@
   }
 
   bool twoLegs(const Session& session, const Exchange& at) const {
-    return !session.transit && &at != session.destination && !data_.pools;
+    return !session.transit && &at != session.destination && !data_.usesPools;
   }
 
   bool trialDue(const Session& session, const Exchange& at) const {
@@ -641,7 +641,7 @@
     const double each = first / std::max(1.0, (until - offered_[0].at) / data_.overloadWindow);
     if (to.own) return {each, each};
     for (const Exchange* exchange : exchanges_) others += exchange->readiness == Readiness::ready && !exchange->own;
-    if (data_.pools) return {each, each / std::max(1.0, others)};
+    if (data_.usesPools) return {each, each / std::max(1.0, others)};
     others = std::max({1.0, others, data_.fleetSize - 1.0});
     return {each, each * (there + 1) / (first + others)};
   }
@@ -692,12 +692,12 @@
   };
   std::vector<Refused> refused_;
   std::unordered_map<std::uint64_t, Instant> busyNumbers_;
-  Instant askAt_ = Instant::longAgo();
+  Instant askAt_ = Instant::distantPast();
   std::vector<const Session*> ownLine_;  // INVITEs out that may not have passed the own processor yet
   Span mayWait_;                         // of the session in hand: the longest delay it may be sent into
   Span everywhere_;                      // the delay that one in hand meets whatever the exchange
-  Instant wakeAt_ = Instant::longAgo();
-  Instant beatAt_ = Instant::longAgo();
+  Instant wakeAt_ = Instant::distantPast();
+  Instant beatAt_ = Instant::distantPast();
   Span lateBy_;
 };
 
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -46,7 +46,7 @@
   std::vector<GroupSize> groups_;
   std::vector<iax2::Address> asked_;
   Instant fullAt_;
-  Instant failedUntil_ = Instant::longAgo();
+  Instant failedUntil_ = Instant::distantPast();
   std::uint64_t id_;
   std::uint64_t version_ = 0;
 };
--- a/src/wire/exchange_registry.cpp
+++ b/src/wire/exchange_registry.cpp
@@ -4,7 +4,7 @@
 
 namespace thistlefold::wire {
 
-ListedExchange& ExchangeRegistry::exchange(std::uint32_t id) {
+ListedExchange& ExchangeRegistry::findOrCreate(std::uint32_t id) {
   auto& exchange = exchanges_[id];
   if (exchange == nullptr) {
     exchange = make_();
@@ -13,21 +13,21 @@
   return *exchange;
 }
 
-ListedExchange* ExchangeRegistry::known(std::uint32_t id) const {
+ListedExchange* ExchangeRegistry::find(std::uint32_t id) const {
   const auto it = exchanges_.find(id);
   return it == exchanges_.end() ? nullptr : it->second.get();
 }
 
-Exchange* ExchangeRegistry::at(double place) const {
+Exchange* ExchangeRegistry::atPlace(double place) const {
   if (!(place >= -1e9 && place <= 1e9)) return nullptr;
   const auto it = places_.find(static_cast<int>(place));
   return it == places_.end() ? nullptr : it->second;
 }
 
-void ExchangeRegistry::list(Controller& controller, const std::vector<ListEntry>& lines, bool whole) {
+void ExchangeRegistry::applyList(Controller& controller, const std::vector<ListEntry>& lines, bool whole) {
   for (const ListEntry& line : lines) {
-    ListedExchange& listed = exchange(line.id);
-    if (line.placed) listed.place = line.place;
+    ListedExchange& listed = findOrCreate(line.id);
+    if (line.hasPlace) listed.place = line.place;
     listed.own = listed.place == here_ && here_ >= 0;
     Exchange*& holder = places_[listed.place];
     if (holder == nullptr || line.readiness == Readiness::ready) holder = &listed;
--- a/src/wire/exchange_registry.hpp
+++ b/src/wire/exchange_registry.hpp
@@ -19,9 +19,9 @@
 struct ListEntry {
   std::uint32_t id = 0;
   int place = -1;
-  bool placed = false;
+  bool hasPlace = false;
   Readiness readiness = Readiness::gone;
-  Instant started = Instant::longAgo();
+  Instant started = Instant::distantPast();
 };
 
 /// The exchanges that an office was told of, by id and by place. They live as long as the roster: the module may
@@ -34,11 +34,11 @@
       : here_(here), make_(std::move(make)) {}
 
   /// Circuits may be told of an exchange before the directory names it; until then it counts as gone.
-  ListedExchange& exchange(std::uint32_t id);
-  ListedExchange* known(std::uint32_t id) const;
-  Exchange* at(double place) const;
+  ListedExchange& findOrCreate(std::uint32_t id);
+  ListedExchange* find(std::uint32_t id) const;
+  Exchange* atPlace(double place) const;
   /// `whole`: who is not in the list is gone.
-  void list(Controller& controller, const std::vector<ListEntry>& lines, bool whole);
+  void applyList(Controller& controller, const std::vector<ListEntry>& lines, bool whole);
 
   const std::map<std::uint32_t, std::unique_ptr<ListedExchange>>& all() const { return exchanges_; }
 
--- a/src/wire/office_config.cpp
+++ b/src/wire/office_config.cpp
@@ -30,7 +30,7 @@
     data.services.push_back(service);
   }
   data.fleetSize = integer(conf, "ReplicasOfMe", 0);
-  data.pools = name(family, "Topology", "mesh") == "pools";
+  data.usesPools = name(family, "Topology", "mesh") == "pools";
   data.maxInvites = integer(caps, "MaxAttempts", 1);
   data.mustSubscribe = name(conf, "Discovery", "pushed") == "on_request";
   data.listStaleAfter = Span::ms(number(obligations, "AskWithin", 0));
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -62,7 +62,7 @@
 class Part {
  public:
   explicit Part(std::vector<Kind> kinds)
-      : kinds_(std::move(kinds)), held_(kinds_.size()), askedAt_(kinds_.size(), Instant::longAgo()) {}
+      : kinds_(std::move(kinds)), held_(kinds_.size()), askedAt_(kinds_.size(), Instant::distantPast()) {}
 
   /// Other bounds; what is held stays held, also above them. Nothing: no budget any more.
   void set(const std::optional<Bounds>& bounds);
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -108,7 +108,7 @@
   struct ZonePeer {
     int place = 0;
     std::uint64_t mark = 0;
-    Instant heardAt = Instant::longAgo();
+    Instant heardAt = Instant::distantPast();
     std::int64_t sent = 0;  // of the newest word taken from it
     bool known = false;     // heard of since this office was started
     // It as a borrower
@@ -123,10 +123,10 @@
     // It as a lender
     std::uint64_t seen = 0;
     Units loan;
-    Instant loanUntil = Instant::longAgo();
+    Instant loanUntil = Instant::distantPast();
     Units spare, recalled, ask;
     bool pressed = false;
-    Instant spokenAt = Instant::longAgo();
+    Instant spokenAt = Instant::distantPast();
     bool wanted = false;  // a word to it is wanted soon
   };
 
@@ -179,7 +179,7 @@
   bool pressed_ = false;                 // some mate's asking is unmet
   Instant settleAt_ = Instant::never();  // words came in that speak() has not acted on
   Instant loweredAt_ = Instant::never();
-  Instant ranAt_ = Instant::longAgo();
+  Instant ranAt_ = Instant::distantPast();
 };
 
 }  // namespace thistlefold::zones
--- a/tests/cold_fleet.cpp
+++ b/tests/cold_fleet.cpp
@@ -75,7 +75,7 @@
       one.place = i;
       one.own = i == here;
       events.push_back([&one](Controller& to) {
-        to.exchangeListed(one, Readiness::ready, Instant::longAgo());
+        to.exchangeListed(one, Readiness::ready, Instant::distantPast());
         to.circuitsChanged(one, 1000, 1000);
       });
     }
@@ -149,7 +149,7 @@
   std::unique_ptr<Controller> controller_;
   std::deque<Exchange> exchanges_;
   std::deque<std::unique_ptr<Dialled>> sessions_;
-  Instant wakeAt_ = Instant::longAgo();
+  Instant wakeAt_ = Instant::distantPast();
 };
 
 Fleet::Fleet(const Town& of) : town(of), chance_(of.seed) {
--- a/tests/program/clock.cpp
+++ b/tests/program/clock.cpp
@@ -22,7 +22,7 @@
   CHECK(std::abs((clock->now() - Instant()).ms() - day) < 1000);
   const auto timer = clock->timer();
   const Instant set = clock->now();
-  Instant firedAt = Instant::longAgo();
+  Instant firedAt = Instant::distantPast();
   timer->set(set + Span::ms(20));
   boost::asio::co_spawn(
       context,
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -169,7 +169,7 @@
   TestPhone phone_;
   bool unrest_ = false;
   iax2::Address deafFrom_{}, deafTo_{};
-  Instant deafUntil_ = Instant::longAgo();
+  Instant deafUntil_ = Instant::distantPast();
   bool frozen_[kPlaces] = {}, down_[kPlaces] = {};
 };
 
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -89,7 +89,7 @@
     Exchange& made = exchanges_[key];
     made.place = static_cast<int>(exchanges_.size());
     exchangesListed_.push_back([&made, free, size](Controller& controller) {
-      controller.exchangeListed(made, Readiness::ready, Instant::longAgo());
+      controller.exchangeListed(made, Readiness::ready, Instant::distantPast());
       if (size >= 0) controller.circuitsChanged(made, free, size);
     });
   }
@@ -152,10 +152,11 @@
     } else if (verb == "own") {
       Exchange& made = exchanges_[word(words)];
       made.own = true;
-      exchangesListed_.push_back(
-          [&made](Controller& controller) { controller.exchangeListed(made, Readiness::ready, Instant::longAgo()); });
+      exchangesListed_.push_back([&made](Controller& controller) {
+        controller.exchangeListed(made, Readiness::ready, Instant::distantPast());
+      });
     } else if (verb == "pools") {
-      data_.pools = true;
+      data_.usesPools = true;
     } else if (verb == "skill") {
       Service& service = data_.services.at(known(services_, words, "service"));
       service.pools.push_back(exchange(words).place);
@@ -199,7 +200,7 @@
       } else if (mark == "transit") {
         made.transit = true;
       } else if (mark == "cut") {
-        made.wasCut = true;
+        made.isReconnect = true;
       } else {
         throw Malformed("not understood: " + mark);
       }
@@ -260,7 +261,7 @@
       events_.push_back([&which, rate](Controller& to) { to.capacityReported(which, rate); });
     } else if (verb == "ready" || verb == "draining" || verb == "gone") {
       Exchange& which = exchange(words);
-      const Instant started = verb == "ready" ? now_ : Instant::longAgo();
+      const Instant started = verb == "ready" ? now_ : Instant::distantPast();
       const Readiness now = verb == "ready" ? Readiness::ready : verb == "gone" ? Readiness::gone : Readiness::draining;
       events_.push_back([&which, now, started](Controller& to) { to.exchangeListed(which, now, started); });
     } else if (verb == "list-failed") {
