--- a/include/thistlefold/controller.hpp
+++ b/include/thistlefold/controller.hpp
@@ -12,39 +12,75 @@
 
 class Controller;
 
-/// All that came in since the last round: calls the controller once for each, in order of arrival.
+/// The events that the host received since the last round. deliver() reports each of them to the controller, in the
+/// order in which they were received.
 class RoundEvents {
  public:
   virtual ~RoundEvents() = default;
   virtual void deliver(Controller& controller) = 0;
 };
 
+/// How an INVITE, or the session that it established, ended.
+/// - released: ended normally.
+/// - failed: answered with a failure, such as a busy line.
+/// - overloaded: refused for lack of circuits or processor capacity; did not execute.
+/// - timedOut: not answered within the timeout.
+/// - unreachable: the exchange could not be reached; the INVITE did not execute.
+/// - reset: the connection was reset; the INVITE may have executed.
+/// - cancelled: withdrawn before it was answered; the INVITE may have executed.
+/// - notSent: the own group had no free circuit for it.
+///
+/// After timedOut, reset and cancelled, circuits may stay occupied for OfficeConfig::releaseTime.
 enum class InviteOutcome { released, failed, overloaded, timedOut, unreachable, reset, cancelled, notSent };
+
+/// Why an INVITE was blocked.
+/// - none: not blocked, or no reason given.
+/// - noCircuit: no free circuit, or no free agent in a pool.
+/// - turnedBack: crankback from a tandem.
+/// - processorFull: the processor of the exchange is overloaded.
+/// - lineBusy: the called subscriber's line is busy.
+///
+/// The values are the reason codes of the bench protocol.
 enum class BlockingReason { none, noCircuit, turnedBack, processorFull, lineBusy };
 
-/// The decisions of one office. Sessions and exchanges belong to the caller; an exchange lives as long as the
-/// controller, a session until it is `finished` with no INVITE ringing.
+/// The routing decisions of one office. Not thread-safe. Sessions and exchanges belong to the caller: an exchange has
+/// to outlive the controller, and a session has to live until it is `finished` and has no pending INVITE.
 class Controller {
  public:
   virtual ~Controller() = default;
 
+  /// Processes the events received since the last round and passes all resulting decisions to `sink` before it returns.
+  /// To be called when events were received and when a scheduled wake-up is due.
   virtual void round(Instant now, RoundEvents& events, DecisionSink& sink) = 0;
 
-  // Called by RoundEvents within a round.
-  virtual void exchangeListed(Exchange& exchange, Readiness readiness, Instant started) = 0;
+  // The functions below report one event each. They are called by RoundEvents::deliver() within a round. Duplicated,
+  // late and out-of-order events are allowed.
+
+  /// The directory lists the exchange in this state. `startedAt`: when its processor last started, distantPast() if
+  /// unknown.
+  virtual void exchangeListed(Exchange& exchange, Readiness readiness, Instant startedAt) = 0;
+  /// The directory did not answer the request for the list, or cannot give it.
   virtual void listFailed() = 0;
-  virtual void circuitsChanged(Exchange& exchange, double free, double size) = 0;
-  /// What the far processor says it can take, in set-ups a second from all offices.
-  virtual void capacityReported(Exchange& exchange, double canTake) = 0;
+  /// Number of free circuits and of all circuits in the trunk group to the exchange.
+  virtual void circuitsChanged(Exchange& exchange, double freeCircuits, double circuits) = 0;
+  /// Capacity that the processor of the exchange reports, in set-ups per second from all offices together.
+  virtual void capacityReported(Exchange& exchange, double setUpsPerSecond) = 0;
+  /// The office received a new session from a subscriber or, in transit, from another office.
   virtual void sessionArrived(Session& session) = 0;
+  /// The pending INVITE of the session was answered. `postDialDelay`: time from INVITE to answer.
   virtual void inviteAccepted(Session& session, Span postDialDelay) = 0;
-  /// `farProcessor`: a turn-back because of the processor beyond. `toldWait`: none if none was named.
-  virtual void inviteEnded(Session& session, Exchange& at, InviteOutcome ending, BlockingReason reason,
-                           bool farProcessor, Span toldWait, bool final) = 0;
+  /// The INVITE of the session at this exchange has ended, or the session that it established.
+  /// `farProcessorOverloaded`: a tandem turned the INVITE back because the processor of the destination is overloaded.
+  /// `retryAfter`: the wait that a full processor named; none() if it named none.
+  /// `final`: the session itself has ended; no further INVITE and no final answer is due.
+  virtual void inviteEnded(Session& session, Exchange& exchange, InviteOutcome outcome, BlockingReason reason,
+                           bool farProcessorOverloaded, Span retryAfter, bool final) = 0;
+  /// The caller gave the session up before it was answered.
   virtual void sessionAbandoned(Session& session) = 0;
 };
 
-/// `data` must outlive the controller.
-std::unique_ptr<Controller> makeController(const OfficeConfig& data, std::uint64_t seed);
+/// Creates the controller of one office. `config` must outlive it. The seed determines all random draws, so that equal
+/// seeds and events give equal decisions.
+std::unique_ptr<Controller> makeController(const OfficeConfig& config, std::uint64_t seed);
 
 }  // namespace thistlefold
--- a/include/thistlefold/office_config.hpp
+++ b/include/thistlefold/office_config.hpp
@@ -8,30 +8,31 @@
 
 /// A service that subscribers dial.
 struct Service {
-  double value = 1;
-  double lateValue = 0;
-  Span postDialTarget;
-  Span timerLimit;
-  Span meanHold;
-  bool repeatable = true;  // an INVITE that may have run may be followed by another
-  std::vector<int> pools;  // places of the pools with the skill; empty: any
+  double value = 1;        ///< earned by a session established within the post-dial target
+  double lateValue = 0;    ///< share of `value` earned by one established after the target
+  Span postDialTarget;     ///< target for the post-dial delay, from the caller's first try
+  Span timerLimit;         ///< longest time for which a caller waits for an answer
+  Span meanHold;           ///< mean hold time of an established session
+  bool repeatable = true;  ///< whether an INVITE that may have executed may be followed by another
+  std::vector<int> pools;  ///< places of the agent pools with the required skill; empty if any pool will do
 };
 
-/// What one office is told when it is put into service.
+/// Configuration of one office.
 struct OfficeConfig {
   std::vector<Service> services;
-  bool usesPools = false;
-  int fleetSize = 0;  // of the whole fleet; none: not told
-  int maxInvites = 1;
-  bool mustSubscribe = false;  // the directory tells only those who asked
-  Span listStaleAfter;
-  bool honoursRetryAfter = false;
-  Span longestRetryAfter;
-  Span releaseTime;
-  Span retransmitAfter;  // a set-up that waits is repeated after this; none: never
-  double coldCapacityShare = 0;
-  Span warmUpTime;
-  double overloadFactor = 0;
+  bool usesPools = false;          ///< exchanges are interchangeable agent pools instead of a mesh with tandems
+  int fleetSize = 0;               ///< offices in the whole fleet; 0 if unknown
+  int maxInvites = 1;              ///< INVITEs per session
+  bool mustSubscribe = false;      ///< the directory sends the list of exchanges only to subscribers
+  Span listStaleAfter;             ///< time without news from the directory after which the list counts as stale
+  bool honoursRetryAfter = false;  ///< callers honour a retry-after
+  Span longestRetryAfter;          ///< upper bound on a retry-after
+  Span releaseTime;                ///< how long an unanswered or reset INVITE may hold circuits after it ended
+  Span retransmitAfter;            ///< interval at which an unanswered set-up is retransmitted; none() if it is not
+  double coldCapacityShare = 0;    ///< share of the warm capacity that a processor has when it starts
+  Span warmUpTime;                 ///< time until a started processor has its full capacity
+  double overloadFactor = 0;       ///< multiple of its capacity beyond which a processor fails if it
+                                   ///< receives that many set-ups within one overload window
   Span overloadWindow;
 };
 
--- a/include/thistlefold/samples.hpp
+++ b/include/thistlefold/samples.hpp
@@ -7,7 +7,7 @@
 
 namespace thistlefold {
 
-/// The last few samples of something measured, oldest first, each with the instant it was taken.
+/// Ring buffer of the last N samples of a quantity, oldest first, each with the instant at which it was taken.
 template <typename T, std::size_t N>
 class Samples {
  public:
@@ -16,6 +16,7 @@
     T value;
   };
 
+  /// Adds a sample. If the buffer is full, the oldest sample is discarded.
   void add(Instant at, T value) {
     if (count_ == N) {
       first_ = (first_ + 1) % N;
@@ -26,8 +27,10 @@
   }
   void clear() { count_ = 0; }
   std::size_t size() const { return count_; }
-  static constexpr std::size_t room() { return N; }
+  static constexpr std::size_t capacity() { return N; }
+  /// The sample at index `i`, counted from the oldest; `i` has to be less than size().
   const Sample& operator[](std::size_t i) const { return ring_[(first_ + i) % N]; }
+  /// The newest sample. There has to be one.
   const Sample& last() const { return (*this)[count_ - 1]; }
 
  private:
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,10 +1,19 @@
-// All decisions of one office. The interface is include/thistlefold/controller.hpp: makeController() makes the
-// decisions of one office from its OfficeConfig and a seed; call round() with the clock, all that came in and
-// a DecisionSink. RoundEvents calls back what was seen; whatever is decided is in the DecisionSink when round()
-// returns.
+// The routing decisions of one office, behind the interface of include/thistlefold/controller.hpp. makeController()
+// creates the controller of one office from its OfficeConfig and a seed. The host calls round() with the current time,
+// the events received since the last round and a DecisionSink; RoundEvents reports each event back to the controller,
+// and every decision has been passed to the sink when round() returns.
 //
-// Order of reading: round() collects, decide() takes each session in hand, place() and carry() are the
-// mechanism of docs/design.md, invite() and refuse() are the only ways to act on a session.
+// Reading order: round() collects the sessions that are due and decide() handles each of them; routeOriginating() and
+// routeTransit() implement the routing mechanism of docs/design.md; invite() and refuse() are the only functions that
+// act on a session.
+//
+// Every office has to keep five rules, which the comments refer to by number:
+//   1. A session gets exactly one final answer, no later than its timer limit.
+//   2. A session has at most one pending INVITE.
+//   3. No INVITE goes to or through an exchange that is draining or gone.
+//   4. All offices together do not overload a processor that has just started.
+//   5. After an INVITE that may still hold circuits, no other is sent for the session until the release time has
+//   passed.
 
 #include <algorithm>
 #include <cmath>
@@ -15,51 +24,54 @@
 namespace thistlefold {
 namespace {
 
-class Rules final : public Controller {
+class RoutingController final : public Controller {
  public:
-  Rules(const OfficeConfig& data, std::uint64_t seed)
-      : data_(data),
-        limits_(data.services.size()),
-        chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24))) {}
+  RoutingController(const OfficeConfig& config, std::uint64_t seed)
+      : config_(config),
+        recentTimerLimits_(config.services.size()),
+        random_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24))) {}
 
   void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
     sink_ = &sink;
-    lateBy_ = beatAt_ == Instant::distantPast() || now_ < beatAt_ + kBeat ? Span::none() : now_ - beatAt_;
-    if (data_.mustSubscribe && askAt_ <= now_) subscribe();
+    stallTime_ =
+        nextTickAt_ == Instant::distantPast() || now_ < nextTickAt_ + kTickInterval ? Span::none() : now_ - nextTickAt_;
+    if (config_.mustSubscribe && subscribeAt_ <= now_) subscribe();
     events.deliver(*this);
-    if (data_.mustSubscribe && askAt_ <= now_) subscribe();
-    for (const auto& [session, retryAfter] : ended_) refuse(*session, retryAfter);
-    ended_.clear();
-    std::vector<Session*> inHand;
-    std::erase_if(waiting_, [&](Session* session) {
+    if (config_.mustSubscribe && subscribeAt_ <= now_) subscribe();
+    for (const auto& [session, retryAfter] : deferredRefusals_) refuse(*session, retryAfter);
+    deferredRefusals_.clear();
+    std::vector<Session*> dueSessions;
+    std::erase_if(openSessions_, [&](Session* session) {
       if (session->nextDecisionAt > now_) return false;
-      inHand.push_back(session);
+      dueSessions.push_back(session);
       return true;
     });
-    // Where several come at once the dearer goes first.
-    std::stable_sort(inHand.begin(), inHand.end(),
-                     [&](const Session* a, const Session* b) { return worth(*a) > worth(*b); });
-    for (Session* session : inHand) decide(*session);
-    wakeForTheNext();
-  }
-
-  // The office asks for a beat of its own and so notices when it has not been run for a while. What comes in
-  // with a late round lay waiting here, not at an exchange: neither delays nor silence in it are evidence,
-  // and its sessions were dialled earlier. Guards against stalls of the host, long collections, clock steps;
-  // could hurt only if alarms alone came late. A beat well above a round and well below any post-dial target.
-  static constexpr Span kBeat = Span::ms(100);
-
-  void exchangeListed(Exchange& exchange, Readiness readiness, Instant started) override {
-    const bool known = std::find(exchanges_.begin(), exchanges_.end(), &exchange) != exchanges_.end();
-    if (!known) exchanges_.push_back(&exchange);
-    // A machine that took the own one's place may be told of before that one is told gone.
-    if (exchange.own && (own_ == nullptr || readiness == Readiness::ready)) own_ = &exchange;
-    // One that had gone and is back is another processor, and has just started, whether or not the list says when.
-    const bool back = known && exchange.readiness == Readiness::gone && readiness == Readiness::ready;
-    if (back && started <= exchange.started) started = now_;
-    if (readiness == Readiness::ready && (exchange.readiness != readiness || started > exchange.started)) {
-      // Another processor than the one that was judged.
+    // Sessions that are due in the same round are handled in order of decreasing value.
+    std::stable_sort(dueSessions.begin(), dueSessions.end(),
+                     [&](const Session* a, const Session* b) { return currentValue(*a) > currentValue(*b); });
+    for (Session* session : dueSessions) decide(*session);
+    scheduleNextRound();
+  }
+
+  // The controller schedules a periodic tick and detects from a late one that the office was not run for a while.
+  // Events that are received in a late round were queued in this host, not at an exchange. Their delays and time-outs
+  // are therefore no evidence against an exchange, and their sessions were dialled earlier than they were received.
+  // Protects against stalls of the host, long garbage collections and clock steps; counterproductive only if timers
+  // alone fire late. The interval is well above the length of a round and well below any post-dial target.
+  static constexpr Span kTickInterval = Span::ms(100);
+
+  void exchangeListed(Exchange& exchange, Readiness readiness, Instant startedAt) override {
+    const bool isKnown = std::find(exchanges_.begin(), exchanges_.end(), &exchange) != exchanges_.end();
+    if (!isKnown) exchanges_.push_back(&exchange);
+    // The replacement of the own exchange may be listed before the one that it replaces is listed as gone.
+    if (exchange.own && (ownExchange_ == nullptr || readiness == Readiness::ready)) ownExchange_ = &exchange;
+    // An exchange that was gone and is ready again has a processor that has just started, even if the list does not
+    // give a later start.
+    const bool hasReturned = isKnown && exchange.readiness == Readiness::gone && readiness == Readiness::ready;
+    if (hasReturned && startedAt <= exchange.started) startedAt = now_;
+    if (readiness == Readiness::ready && (exchange.readiness != readiness || startedAt > exchange.started)) {
+      // What was observed of the processor before the restart says nothing about this one.
       exchange.directOutcomes.clear();
       exchange.tandemOutcomes.clear();
       exchange.postDialDelays.clear();
@@ -68,643 +80,714 @@
       exchange.blockedUntil = Instant::distantPast();
     }
     exchange.readiness = readiness;
-    if (started > exchange.started) {
-      exchange.started = started;
-      const bool ranBefore = offered_.size() > 0 && started - offered_[0].at >= data_.overloadWindow;
-      exchange.usualDemand = ranBefore ? usualUntil(started, exchange) : UsualDemand();
+    if (startedAt > exchange.started) {
+      exchange.started = startedAt;
+      const bool ranBefore =
+          dialledSessions_.size() > 0 && startedAt - dialledSessions_[0].at >= config_.overloadWindow;
+      exchange.usualDemand = ranBefore ? estimateUsualDemand(startedAt, exchange) : UsualDemand();
     }
   }
 
   void listFailed() override {
-    // A quarter of the time after which silence counts as knowledge leaves room for two more failures.
-    askAt_ = now_ + data_.listStaleAfter * (0.25 * std::generate_canonical<double, 24>(chance_));
+    // Random back-off of up to a quarter of the time after which the list counts as stale, which leaves time for two
+    // more failures.
+    subscribeAt_ = now_ + config_.listStaleAfter * (0.25 * std::generate_canonical<double, 24>(random_));
   }
 
-  void circuitsChanged(Exchange& exchange, double free, double size) override {
-    exchange.freeCircuits = free;
-    exchange.circuits = size;
+  void circuitsChanged(Exchange& exchange, double freeCircuits, double circuits) override {
+    exchange.freeCircuits = freeCircuits;
+    exchange.circuits = circuits;
   }
 
-  void capacityReported(Exchange& exchange, double canTake) override { exchange.reportedCapacity.add(now_, canTake); }
+  void capacityReported(Exchange& exchange, double setUpsPerSecond) override {
+    exchange.reportedCapacity.add(now_, setUpsPerSecond);
+  }
 
-  // Whatever is told twice, late, out of order or about something closed changes nothing that stands: a
-  // session is taken once, an INVITE ends once, and what is not out can't be answered. Guards against
-  // datagrams that come again and far ends that mix up their calls: each could have left a session here
-  // twice, for two INVITEs or two answers, or freed while its INVITE was still looked up.
+  // Events may be duplicated, late, out of order, or refer to a closed session. None of these changes any state: a
+  // session is received once, an INVITE ends once, and only a pending INVITE can be answered. Protects against
+  // duplicated datagrams and far ends that confuse their calls. Either could otherwise enter a session twice, give it
+  // two INVITEs or two final answers, or free it while its INVITE can still be looked up.
   void sessionArrived(Session& session) override {
     if (session.received || session.finished) return;
     session.received = true;
-    session.firstDialledAt = session.transit ? now_ : firstDialled(session);
+    session.firstDialledAt = session.transit ? now_ : findFirstDialTime(session);
     const bool isRedial = session.firstDialledAt < now_;
     session.nextDecisionAt = now_;
-    const Span limit = session.timerLimit - now_;
+    const Span timeLeft = session.timerLimit - now_;
     if (!session.transit && !isRedial) {
-      auto& limits = limits_[static_cast<std::size_t>(session.service - data_.services.data())];
-      if (lateBy_ == Span::none()) limits.add(now_, limit);
-      Span usual;
-      for (std::size_t i = 0; i < limits.size(); ++i) usual = std::max(usual, limits[i].value);
-      session.firstDialledAt = now_ - std::clamp(usual - limit, Span::none(), lateBy_);
+      // Callers of a service start with the same timer limit as a rule. In a late round, the time by which this session
+      // has less left than recent ones had is the time for which it was queued in this host.
+      auto& recentLimits = recentTimerLimits_[static_cast<std::size_t>(session.service - config_.services.data())];
+      if (stallTime_ == Span::none()) recentLimits.add(now_, timeLeft);
+      Span longestLimit;
+      for (std::size_t i = 0; i < recentLimits.size(); ++i)
+        longestLimit = std::max(longestLimit, recentLimits[i].value);
+      session.firstDialledAt = now_ - std::clamp(longestLimit - timeLeft, Span::none(), stallTime_);
     }
-    waiting_.push_back(&session);
-    session.admissionDraw = std::generate_canonical<double, 24>(chance_);
+    openSessions_.push_back(&session);
+    session.admissionDraw = std::generate_canonical<double, 24>(random_);
     if (session.transit) return;
-    offered_.add(now_, {worth(session), inTime(session), !isRedial,
-                        session.destination != nullptr ? session.destination->place : -1});
+    dialledSessions_.add(now_, {currentValue(session), isWithinTarget(session), !isRedial,
+                                session.destination != nullptr ? session.destination->place : -1});
   }
 
   void inviteAccepted(Session& session, Span postDialDelay) override {
-    Exchange* at = session.pendingAt;
-    if (at == nullptr || session.established) return;
+    Exchange* exchange = session.pendingAt;
+    if (exchange == nullptr || session.established) return;
     session.established = true;
-    std::erase(at->pendingInvites, &session);
-    leftOwnLine(session);
-    if (twoLegs(session, *at)) at->farLegs[session.destination].carried = true;
-    judge(session, *at, true);
-    // Sent to the processor before: the new one answered a repeat.
-    if (lateBy_ > Span::none() || session.sentAt < at->started) return;
-    if (at == session.destination) at->postDialDelays.add(now_, postDialDelay);
-    delays_.add(now_, postDialDelay);
-  }
-
-  void inviteEnded(Session& session, Exchange& at, InviteOutcome ending, BlockingReason reason, bool farProcessor,
-                   Span toldWait, bool final) override {
-    if (session.pendingAt != &at) {
+    std::erase(exchange->pendingInvites, &session);
+    leaveLocalQueue(session);
+    if (hasTwoLegs(session, *exchange)) exchange->farLegs[session.destination].hasCarriedSession = true;
+    recordOutcome(session, *exchange, true);
+    // An INVITE sent before the processor restarted was answered only after a retransmission, so its delay is not that
+    // of the new processor.
+    if (stallTime_ > Span::none() || session.sentAt < exchange->started) return;
+    if (exchange == session.destination) exchange->postDialDelays.add(now_, postDialDelay);
+    officePostDialDelays_.add(now_, postDialDelay);
+  }
+
+  void inviteEnded(Session& session, Exchange& exchange, InviteOutcome outcome, BlockingReason reason,
+                   bool farProcessorOverloaded, Span retryAfter, bool final) override {
+    if (session.pendingAt != &exchange) {
       if (final) sessionAbandoned(session);
       return;
     }
-    std::erase(at.pendingInvites, &session);
-    if (ending == InviteOutcome::overloaded || ending == InviteOutcome::failed || ending == InviteOutcome::released)
-      leftOwnLine(session);
-    std::erase(ownLine_, &session);
+    std::erase(exchange.pendingInvites, &session);
+    if (outcome == InviteOutcome::overloaded || outcome == InviteOutcome::failed || outcome == InviteOutcome::released)
+      leaveLocalQueue(session);
+    std::erase(localQueue_, &session);
     session.pendingAt = nullptr;
-    const bool stood = session.established;
+    const bool wasEstablished = session.established;
     session.established = false;
-    if (!stood) learn(session, at, ending, reason, farProcessor, toldWait);
-    if (ending == InviteOutcome::reset && !twoLegs(session, at)) at.suspectedAt = now_;
+    if (!wasEstablished) learnFromOutcome(session, exchange, outcome, reason, farProcessorOverloaded, retryAfter);
+    if (outcome == InviteOutcome::reset && !hasTwoLegs(session, exchange)) exchange.suspectedAt = now_;
     if (final || session.finished) {
       session.finished = true;
       return;
     }
-    if (ending != InviteOutcome::overloaded && ending != InviteOutcome::notSent &&
-        ending != InviteOutcome::unreachable) {
+    if (outcome != InviteOutcome::overloaded && outcome != InviteOutcome::notSent &&
+        outcome != InviteOutcome::unreachable) {
       session.mayHaveExecuted = true;
     }
-    if (session.transit) return refuseLater(session, Span::none());
-    const bool mayBeHeld =
-        ending == InviteOutcome::timedOut || ending == InviteOutcome::reset || ending == InviteOutcome::cancelled;
-    session.nextDecisionAt = mayBeHeld ? now_ + data_.releaseTime : now_;
-    if (session.mayHaveExecuted && !session.service->repeatable) return refuseLater(session, comeBack());
+    if (session.transit) return deferRefusal(session, Span::none());
+    const bool mayHoldCircuits =
+        outcome == InviteOutcome::timedOut || outcome == InviteOutcome::reset || outcome == InviteOutcome::cancelled;
+    session.nextDecisionAt = mayHoldCircuits ? now_ + config_.releaseTime : now_;
+    if (session.mayHaveExecuted && !session.service->repeatable) return deferRefusal(session, longestRetryAfter());
     const Instant target = session.firstDialledAt + session.service->postDialTarget;
-    if (session.nextDecisionAt >= std::min(target, session.timerLimit)) return refuseLater(session, comeBack());
-    if (reason == BlockingReason::lineBusy) return refuseLater(session, comeBack());
-    waiting_.push_back(&session);
+    if (session.nextDecisionAt >= std::min(target, session.timerLimit))
+      return deferRefusal(session, longestRetryAfter());
+    if (reason == BlockingReason::lineBusy) return deferRefusal(session, longestRetryAfter());
+    openSessions_.push_back(&session);
   }
 
   void sessionAbandoned(Session& session) override {
     session.finished = true;
-    std::erase(waiting_, &session);
+    std::erase(openSessions_, &session);
   }
 
  private:
-  // ---- The ordinary path -------------------------------------------------------------------------------
+  // ---- Route selection ---------------------------------------------------------------------------------
 
   void decide(Session& session) {
     if (session.finished) return;
-    if (session.destination == nullptr || now_ >= session.timerLimit) return refuse(session, comeBack());
-    mayWait_ = mayWait(session);
-    everywhere_ = delayEverywhere();
-    session.transit ? carry(session) : place(session);
+    if (session.destination == nullptr || now_ >= session.timerLimit) return refuse(session, longestRetryAfter());
+    delayLimit_ = longestAcceptableDelay(session);
+    officeDelay_ = expectedOfficeDelay();
+    session.transit ? routeTransit(session) : routeOriginating(session);
   }
 
-  void place(Session& session) {
+  void routeOriginating(Session& session) {
     Exchange& destination = *session.destination;
-    if (!data_.usesPools && !sound(session, destination)) return refuse(session, comeBack());
-    if (!data_.usesPools && pressed(session, destination)) return refuse(session, comeBackSoon(session));
-    if (!data_.usesPools && lessThanUsual(session, destination)) return refuse(session, comeBackSoon(session));
-    if (!data_.usesPools && !withinColdPart(session, destination)) return refuse(session, comeBackSoon(session));
-    if (own_ != nullptr && !withinColdPart(session, *own_)) return refuse(session, comeBackSoon(session));
-    if (linesBusy(session)) return refuse(session, comeBackSoon(session));
-    const bool direct = !data_.usesPools || (fit(session, destination) && !tried(session, destination));
-    if (direct && hasRoom(session, destination)) {
+    if (!config_.usesPools && !isHealthy(session, destination)) return refuse(session, longestRetryAfter());
+    if (!config_.usesPools && isOverloaded(session, destination))
+      return refuse(session, retryAfterWithinTarget(session));
+    if (!config_.usesPools && hasReducedCapacity(session, destination))
+      return refuse(session, retryAfterWithinTarget(session));
+    if (!config_.usesPools && !isWithinColdStartShare(session, destination))
+      return refuse(session, retryAfterWithinTarget(session));
+    if (ownExchange_ != nullptr && !isWithinColdStartShare(session, *ownExchange_))
+      return refuse(session, retryAfterWithinTarget(session));
+    if (isNumberBusy(session)) return refuse(session, retryAfterWithinTarget(session));
+    const bool canGoDirect =
+        !config_.usesPools || (isEligible(session, destination) && !wasTried(session, destination));
+    if (canGoDirect && hasFreeCircuits(session, destination)) {
       if (invite(session, destination)) return;
-      return refuse(session, comeBack());
+      return refuse(session, longestRetryAfter());
     }
-    while (Exchange* tandem = cheapestTandem(session)) {
+    while (Exchange* tandem = lowestCostTandem(session)) {
       if (invite(session, *tandem)) return;
-      session.tried.push_back(tandem);
+      session.triedExchanges.push_back(tandem);
     }
-    refuse(session, comeBackSoon(session));
+    refuse(session, retryAfterWithinTarget(session));
   }
 
-  void carry(Session& session) {
+  void routeTransit(Session& session) {
     Exchange& destination = *session.destination;
-    if (busyShare(destination) + share(session, destination) <= kCap && fit(session, destination) &&
-        invite(session, destination)) {
+    if (occupancy(destination) + addedOccupancy(session, destination) <= kTwoLegOccupancyLimit &&
+        isEligible(session, destination) && invite(session, destination)) {
       return;
     }
     refuse(session, Span::none());
   }
 
-  // No two-leg session takes a leg past this share: what is above it is kept for direct sessions. The best of
-  // 0.8, 0.9 and 0.95 that still keeps circuits free on a group of some twenty.
-  static constexpr double kCap = 0.9;
+  // Trunk reservation: no two-leg session may raise the occupancy of a leg above this share; the circuits above it are
+  // reserved for direct sessions. Leaves free circuits for them even on a group of about 20.
+  static constexpr double kTwoLegOccupancyLimit = 0.9;
 
-  // Base of the cost curve, 1 + 1/gamma with gamma above one. gamma = 2 is the middle of the range; near one
-  // measured no better.
-  static constexpr double kBase = 1.5;
+  // Base of the exponential cost curve: 1 + 1/gamma, with gamma = 2. Gamma has to be above one.
+  static constexpr double kCostBase = 1.5;
 
-  // A far leg that turned a session back is taken for empty again after this. The best of 2, 5, 10, 20 and 40
-  // s over all deployments: it keeps the leg shut for about two seconds.
-  static constexpr Span kFading = Span::ms(40000);
+  // Time in which the assumed occupancy of a far leg that turned a session back decays to zero. On a far leg of about
+  // 20 circuits this excludes the leg for about 2 s.
+  static constexpr Span kTurnBackDecayTime = Span::ms(40000);
 
-  static double cost(double busy, double add) { return std::pow(kBase, busy + add) - std::pow(kBase, busy); }
-  // A group that was not told of yet is taken for empty: an INVITE that finds no circuit costs nothing.
-  static bool hasRoom(const Session& session, const Exchange& leg) {
-    return leg.circuits < 0 || leg.freeCircuits >= session.width;
+  // Cost of raising the occupancy of a leg by `added`.
+  static double cost(double busyShare, double added) {
+    return std::pow(kCostBase, busyShare + added) - std::pow(kCostBase, busyShare);
+  }
+  // A group whose size has not been reported yet is assumed to be empty: an INVITE that finds no circuit costs nothing.
+  static bool hasFreeCircuits(const Session& session, const Exchange& exchange) {
+    return exchange.circuits < 0 || exchange.freeCircuits >= session.width;
   }
-  static double busyShare(const Exchange& leg) {
-    return leg.circuits > 0 ? (leg.circuits - leg.freeCircuits) / leg.circuits : leg.circuits < 0 ? 0 : 1;
+  // Share of the circuits that are occupied. A group of unknown size counts as empty, one without circuits as full.
+  static double occupancy(const Exchange& exchange) {
+    return exchange.circuits > 0   ? (exchange.circuits - exchange.freeCircuits) / exchange.circuits
+           : exchange.circuits < 0 ? 0
+                                   : 1;
   }
-  static double share(const Session& session, const Exchange& leg) {
-    return leg.circuits > 0 ? session.width / leg.circuits : leg.circuits < 0 ? 0 : 1;
+  // Occupancy that the session would add to the group, by the same conventions.
+  static double addedOccupancy(const Session& session, const Exchange& exchange) {
+    return exchange.circuits > 0 ? session.width / exchange.circuits : exchange.circuits < 0 ? 0 : 1;
   }
 
-  double farShare(const Exchange& tandem, const Exchange& destination) const {
+  // Assumed occupancy of the group between tandem and destination, which this office does not see: the limit at the
+  // time of a turn-back, from which it decays linearly. A leg that never carried a session may not exist, so its decay
+  // takes ten times as long.
+  double farLegOccupancy(const Exchange& tandem, const Exchange& destination) const {
     const auto entry = tandem.farLegs.find(&destination);
     if (entry == tandem.farLegs.end()) return 0;
     const FarLeg& leg = entry->second;
-    return kCap * std::max(0.0, 1.0 - (now_ - leg.turnedBack) / (leg.carried ? kFading : kFading * 10));
+    return kTwoLegOccupancyLimit *
+           std::max(0.0, 1.0 - (now_ - leg.turnedBackAt) /
+                                   (leg.hasCarriedSession ? kTurnBackDecayTime : kTurnBackDecayTime * 10));
   }
 
-  Exchange* cheapestTandem(const Session& session) const {
+  Exchange* lowestCostTandem(const Session& session) const {
     Exchange* best = nullptr;
-    double least = 0;
+    double lowestCost = 0;
     for (Exchange* tandem : exchanges_) {
-      if (tandem == session.destination || tandem->own || tried(session, *tandem)) continue;
-      if (data_.usesPools && !skilled(session, *tandem)) continue;
-      if (!hasRoom(session, *tandem)) continue;
-      // What a cold processor can do is kept for the sessions that start or end there: its groups are empty
-      // and so the cheapest to everyone at once.
-      if (!data_.usesPools && cold(*tandem)) continue;
-      const double add = share(session, *tandem);
-      const double far = data_.usesPools ? 0 : farShare(*tandem, *session.destination);
-      if (busyShare(*tandem) + add > kCap || (!data_.usesPools && far + add > kCap)) continue;
-      const double price = cost(busyShare(*tandem), add) + (data_.usesPools ? 0 : cost(far, add));
-      if ((best != nullptr && price >= least) || !fit(session, *tandem)) continue;
+      if (tandem == session.destination || tandem->own || wasTried(session, *tandem)) continue;
+      if (config_.usesPools && !hasSkill(session, *tandem)) continue;
+      if (!hasFreeCircuits(session, *tandem)) continue;
+      // The capacity of a cold processor is reserved for sessions that start or end there. Its groups are empty, so it
+      // would otherwise be the lowest-cost tandem for all offices at once.
+      if (!config_.usesPools && isCold(*tandem)) continue;
+      const double added = addedOccupancy(session, *tandem);
+      const double farOccupancy = config_.usesPools ? 0 : farLegOccupancy(*tandem, *session.destination);
+      if (occupancy(*tandem) + added > kTwoLegOccupancyLimit ||
+          (!config_.usesPools && farOccupancy + added > kTwoLegOccupancyLimit))
+        continue;
+      const double routeCost = cost(occupancy(*tandem), added) + (config_.usesPools ? 0 : cost(farOccupancy, added));
+      if ((best != nullptr && routeCost >= lowestCost) || !isEligible(session, *tandem)) continue;
       best = tandem;
-      least = price;
+      lowestCost = routeCost;
     }
     return best;
   }
 
-  bool skilled(const Session& session, const Exchange& pool) const {
+  bool hasSkill(const Session& session, const Exchange& pool) const {
     const auto& pools = session.service->pools;
     return pools.empty() || std::find(pools.begin(), pools.end(), pool.place) != pools.end();
   }
 
-  static bool tried(const Session& session, const Exchange& exchange) {
-    return std::find(session.tried.begin(), session.tried.end(), &exchange) != session.tried.end();
+  static bool wasTried(const Session& session, const Exchange& exchange) {
+    return std::find(session.triedExchanges.begin(), session.triedExchanges.end(), &exchange) !=
+           session.triedExchanges.end();
   }
 
-  // ---- Acting on a session -----------------------------------------------------------------------------
+  // ---- Actions on a session ----------------------------------------------------------------------------
 
-  // The only place that sends. Rules 2 to 5 are checked here whatever led to it.
+  // The only function that sends an INVITE. Rules 2 to 5 are checked here, whatever led to the call. Returns false if
+  // one of them forbids the INVITE.
   bool invite(Session& session, Exchange& to) {
-    if (session.finished || session.pendingAt != nullptr || session.invites >= data_.maxInvites) return false;
+    if (session.finished || session.pendingAt != nullptr || session.invites >= config_.maxInvites) return false;
     if (now_ < session.nextDecisionAt || now_ >= session.timerLimit) return false;
     if (to.readiness != Readiness::ready || to.own) return false;
     if (session.transit && &to != session.destination) return false;
-    if (!withinColdPart(session, to)) return false;
-    if (twoLegs(session, to) && !withinColdPart(session, *session.destination)) return false;
-    if (own_ != nullptr && !session.transit && !withinColdPart(session, *own_)) return false;
+    if (!isWithinColdStartShare(session, to)) return false;
+    if (hasTwoLegs(session, to) && !isWithinColdStartShare(session, *session.destination)) return false;
+    if (ownExchange_ != nullptr && !session.transit && !isWithinColdStartShare(session, *ownExchange_)) return false;
     to.inviteTimes.add(now_, now_);
-    if (&to != session.destination && !data_.usesPools) session.destination->inviteTimes.add(now_, now_);
-    if (own_ != nullptr && !session.transit) own_->inviteTimes.add(now_, now_);
+    if (&to != session.destination && !config_.usesPools) session.destination->inviteTimes.add(now_, now_);
+    if (ownExchange_ != nullptr && !session.transit) ownExchange_->inviteTimes.add(now_, now_);
     ++session.invites;
     session.pendingAt = &to;
     session.sentAt = now_;
-    session.tried.push_back(&to);
+    session.triedExchanges.push_back(&to);
     to.pendingInvites.push_back(&session);
-    ownLine_.push_back(&session);
+    localQueue_.push_back(&session);
     to.freeCircuits -= session.width;
-    if (condemned(to.directOutcomes) || condemned(to.tandemOutcomes)) to.lastProbe = now_;
-    sink_->invite(session, to, patience(session));
+    if (isUnresponsive(to.directOutcomes) || isUnresponsive(to.tandemOutcomes)) to.lastProbe = now_;
+    sink_->invite(session, to, inviteTimeout(session));
     return true;
   }
 
-  // An ending that leaves nothing but a refusal: given in this round, once all that came in was heard. Guards against
-  // an answer to a caller whose give-up came in with it.
-  void refuseLater(Session& session, Span retryAfter) { ended_.push_back({&session, retryAfter}); }
+  // Refuses the session later in this round, after all events were delivered. Protects against answering a caller whose
+  // abandonment was received in the same round.
+  void deferRefusal(Session& session, Span retryAfter) { deferredRefusals_.push_back({&session, retryAfter}); }
 
-  // The only place that gives a final answer; it is given at once.
+  // The only function that gives a final answer. The answer is passed to the sink at once.
   void refuse(Session& session, Span retryAfter) {
     if (session.finished) return;
     session.finished = true;
     if (!session.transit) {
-      if (refused_.size() == kNumbers) refused_.erase(refused_.begin());
-      refused_.push_back({session.dialledNumber, session.service, session.firstDialledAt});
+      if (recentRefusals_.size() == kMaxRememberedNumbers) recentRefusals_.erase(recentRefusals_.begin());
+      recentRefusals_.push_back({session.dialledNumber, session.service, session.firstDialledAt});
     }
     if (session.mayHaveExecuted && !session.service->repeatable) return sink_->failUncertain(session);
-    sink_->rejectBusy(session, data_.honoursRetryAfter ? std::min(retryAfter, data_.longestRetryAfter) : Span::none());
+    sink_->rejectBusy(session,
+                      config_.honoursRetryAfter ? std::min(retryAfter, config_.longestRetryAfter) : Span::none());
   }
 
-  // A caller that met busy circuits or a pressed processor can still be served in time if it is back before
-  // its target is up. Six tenths was the best of a quarter, four and six tenths over all deployments; to say
-  // so only once lost.
-  Span comeBackSoon(const Session& session) const {
-    const Span left = session.firstDialledAt + session.service->postDialTarget - now_;
-    return left > Span::none() ? left * 0.6 : data_.longestRetryAfter;
+  // Retry-after for a caller that met busy circuits or an overloaded processor. It can still be served in time if it
+  // redials before its post-dial target has passed, so it is asked to redial after 0.6 of the time left. After the
+  // target it gets the longest retry-after.
+  Span retryAfterWithinTarget(const Session& session) const {
+    const Span timeLeft = session.firstDialledAt + session.service->postDialTarget - now_;
+    return timeLeft > Span::none() ? timeLeft * 0.6 : config_.longestRetryAfter;
   }
 
-  // All lines of a mass-called number are busy, which no price shows. With some ten lines one comes free
-  // about every tenth of a mean hold; until then an INVITE is work for two processors that sets up nothing.
-  // Guards also against a dead set behind a number. Could hurt where a number has very many lines.
-  bool linesBusy(const Session& session) const {
+  // True for a tenth of a mean hold time after the dialled number was found busy. When a number is mass-called, all its
+  // lines are busy, which no route cost reflects. With about ten lines, one becomes free about every tenth of a mean
+  // hold time; until then an INVITE is work for two processors that establishes nothing. Also protects against a number
+  // whose terminal is defective. Counterproductive if a number has very many lines.
+  bool isNumberBusy(const Session& session) const {
     const auto busy = busyNumbers_.find(session.dialledNumber);
     return busy != busyNumbers_.end() && now_ - busy->second < session.service->meanHold * 0.1;
   }
 
-  // What callers dial can be anything. At the bound the oldest refusal is forgotten, and a further busy
-  // number is not noted: either costs an INVITE. 450 refusals a second for nine seconds' timer limit fit.
-  static constexpr std::size_t kNumbers = 4096;
+  // Bound on remembered numbers, since callers can dial any number. At the bound the oldest refusal is dropped and a
+  // further busy number is not remembered; either costs at most an INVITE. Holds 450 refusals a second over a timer
+  // limit of 9 s.
+  static constexpr std::size_t kMaxRememberedNumbers = 4096;
 
-  void rememberBusy(const Session& session) {
-    if (busyNumbers_.size() >= kNumbers && !busyNumbers_.contains(session.dialledNumber)) {
+  void rememberBusyNumber(const Session& session) {
+    if (busyNumbers_.size() >= kMaxRememberedNumbers && !busyNumbers_.contains(session.dialledNumber)) {
       Span longest;
-      for (const Service& service : data_.services) longest = std::max(longest, service.meanHold * 0.1);
-      std::erase_if(busyNumbers_, [&](const auto& one) { return now_ - one.second >= longest; });
-      if (busyNumbers_.size() >= kNumbers) return;
+      for (const Service& service : config_.services) longest = std::max(longest, service.meanHold * 0.1);
+      std::erase_if(busyNumbers_, [&](const auto& entry) { return now_ - entry.second >= longest; });
+      if (busyNumbers_.size() >= kMaxRememberedNumbers) return;
     }
     busyNumbers_[session.dialledNumber] = now_;
   }
 
-  Span comeBack() const { return data_.longestRetryAfter; }
+  Span longestRetryAfter() const { return config_.longestRetryAfter; }
 
-  Instant targetOf(const Session& session) const {
+  // End of the post-dial target, but no later than the timer limit; the timer limit once the target has passed.
+  Instant currentDeadline(const Session& session) const {
     const Instant target = session.firstDialledAt + session.service->postDialTarget;
     return now_ < target ? std::min(target, session.timerLimit) : session.timerLimit;
   }
 
-  // Callers redial by themselves and are seldom marked, and a redial is owed what is left of its first try's
-  // post-dial target. It is known by the number that this office refused lately for the same service; one
-  // refusal is matched by one redial. Guards against late redials crowding out sessions that can still
-  // earn their full value. At a mass-called number it may take one caller for another: both wait there.
-  Instant firstDialled(const Session& session) {
-    std::erase_if(refused_, [&](const Refused& was) { return now_ - was.dialled > was.service->timerLimit; });
-    const auto was = std::find_if(refused_.begin(), refused_.end(), [&](const Refused& one) {
-      return one.number == session.dialledNumber && one.service == session.service;
+  // Instant at which the caller first dialled for this session: that of a recent refusal for the same number and
+  // service, otherwise now. Callers redial on their own and redials are seldom flagged as such; a redial has only what
+  // is left of the post-dial target of its first try. Each refusal is matched with one redial. Protects against late
+  // redials displacing sessions that can still earn their full value. At a mass-called number one caller may be taken
+  // for another, which does little harm since both of them wait.
+  Instant findFirstDialTime(const Session& session) {
+    std::erase_if(recentRefusals_,
+                  [&](const Refusal& refusal) { return now_ - refusal.firstDialledAt > refusal.service->timerLimit; });
+    const auto match = std::find_if(recentRefusals_.begin(), recentRefusals_.end(), [&](const Refusal& refusal) {
+      return refusal.number == session.dialledNumber && refusal.service == session.service;
     });
-    if (session.isReconnect || was == refused_.end()) return now_;
-    const Instant dialled = was->dialled;
-    refused_.erase(was);
-    return dialled;
+    if (session.isReconnect || match == recentRefusals_.end()) return now_;
+    const Instant firstDialledAt = match->firstDialledAt;
+    recentRefusals_.erase(match);
+    return firstDialledAt;
   }
 
-  // An INVITE is given up when it can no longer earn the full value: what is late earns little and its
-  // work is the next session's wait.
-  Span patience(const Session& session) const {
-    const Instant end = session.transit ? session.timerLimit : targetOf(session);
+  // An INVITE times out when it can no longer earn the full value: a late session earns little, and its work delays the
+  // sessions behind it.
+  Span inviteTimeout(const Session& session) const {
+    const Instant end = session.transit ? session.timerLimit : currentDeadline(session);
     return std::max(end - now_, Span::ms(1));
   }
 
   // ---- Health ------------------------------------------------------------------------------------------
 
-  void learn(const Session& session, Exchange& at, InviteOutcome ending, BlockingReason reason, bool farProcessor,
-             Span toldWait) {
-    switch (ending) {
+  // Updates health and capacity state from an INVITE that ended before its session was established.
+  void learnFromOutcome(const Session& session, Exchange& exchange, InviteOutcome outcome, BlockingReason reason,
+                        bool farProcessorOverloaded, Span retryAfter) {
+    switch (outcome) {
       case InviteOutcome::released:
       case InviteOutcome::failed:
-        judge(session, at, true);
-        if (reason == BlockingReason::lineBusy) rememberBusy(session);
+        recordOutcome(session, exchange, true);
+        if (reason == BlockingReason::lineBusy) rememberBusyNumber(session);
         break;
       case InviteOutcome::overloaded:
-        judge(session, at, true);
-        if (reason == BlockingReason::turnedBack && !farProcessor) at.farLegs[session.destination].turnedBack = now_;
-        if (reason == BlockingReason::turnedBack && farProcessor) hold(*session.destination, Span::none());
+        recordOutcome(session, exchange, true);
+        if (reason == BlockingReason::turnedBack && !farProcessorOverloaded)
+          exchange.farLegs[session.destination].turnedBackAt = now_;
+        if (reason == BlockingReason::turnedBack && farProcessorOverloaded)
+          blockExchange(*session.destination, Span::none());
         if (reason == BlockingReason::processorFull) {
-          hold(at, toldWait);
-          tooLate(std::max(toldWait, session.service->postDialTarget));
+          blockExchange(exchange, retryAfter);
+          recordOfficeDelay(std::max(retryAfter, session.service->postDialTarget));
         }
         break;
       case InviteOutcome::timedOut:
-        // Through a tandem it may have met an office that stands still.
-        if (!twoLegs(session, at)) tooLate(now_ - session.sentAt);
+        // An INVITE through a tandem may have timed out because the tandem's office has stalled.
+        if (!hasTwoLegs(session, exchange)) recordOfficeDelay(now_ - session.sentAt);
         [[fallthrough]];
       case InviteOutcome::unreachable:
-        judge(session, at, false);
+        recordOutcome(session, exchange, false);
         break;
       default:
         break;
     }
   }
 
-  // An INVITE that timed out or met a full processor waited, or would have, at one of two processors, and one
-  // of them is the own. If it is the own, all are late whatever the exchange: so it is a delay of the office,
-  // and a single bad exchange is outvoted there. Guards against a slow, hung or dead processor here and
-  // rushes that this office made itself. Could hurt where many exchanges fail at once and the office sends to
-  // few others.
-  void tooLate(Span delay) {
-    if (lateBy_ == Span::none()) delays_.add(now_, delay);
+  // An INVITE that timed out or met a full processor waited, or would have waited, at one of two processors, one of
+  // which is the local one. A slow local processor delays the INVITEs to every exchange. The delay is therefore
+  // recorded for the whole office, where a single faulty exchange is outvoted by the others. Protects against a slow,
+  // hung or dead local processor and against surges that this office caused itself. Counterproductive if many exchanges
+  // fail at once and the office sends to few others.
+  void recordOfficeDelay(Span delay) {
+    if (stallTime_ == Span::none()) officePostDialDelays_.add(now_, delay);
   }
 
-  void hold(Exchange& at, Span toldWait) {
-    // A processor that is full says how long; where it does not, one clear-wait lets its line move.
-    at.blockedUntil = std::max(at.blockedUntil, now_ + std::max(toldWait, data_.releaseTime));
+  void blockExchange(Exchange& exchange, Span retryAfter) {
+    // A full processor names a wait; without one, the release time lets its queue advance.
+    exchange.blockedUntil = std::max(exchange.blockedUntil, now_ + std::max(retryAfter, config_.releaseTime));
   }
 
-  // The processor of a destination and the office behind a tandem fail apart, so each is judged by its own
-  // outcomes.
-  void judge(const Session& session, Exchange& at, bool answered) {
-    if (!answered && (lateBy_ > Span::none() || session.sentAt < at.started)) return;
-    if (!answered && answeredSince(at, session.sentAt)) return;
-    const bool relay = twoLegs(session, at);
-    (relay ? at.tandemOutcomes : at.directOutcomes).add(now_, answered);
-    if (!relay) at.suspectedAt = answered ? Instant::distantPast() : now_;
+  // Records whether the exchange answered an INVITE. The processor of a destination and the office behind a tandem fail
+  // independently, so direct and tandem outcomes are kept apart.
+  void recordOutcome(const Session& session, Exchange& exchange, bool answered) {
+    if (!answered && (stallTime_ > Span::none() || session.sentAt < exchange.started)) return;
+    if (!answered && hasAnsweredSince(exchange, session.sentAt)) return;
+    const bool asTandem = hasTwoLegs(session, exchange);
+    (asTandem ? exchange.tandemOutcomes : exchange.directOutcomes).add(now_, answered);
+    if (!asTandem) exchange.suspectedAt = answered ? Instant::distantPast() : now_;
   }
 
-  // Who answers others in the meantime is slow, not silent: that is for the delays to tell. Guards against
-  // condemning everyone after a rush that this office made itself.
-  static bool answeredSince(const Exchange& at, Instant sent) {
-    for (std::size_t i = at.directOutcomes.size(); i-- > 0 && at.directOutcomes[i].at > sent;) {
-      if (at.directOutcomes[i].value) return true;
+  // An exchange that has answered another direct INVITE in the meantime is slow rather than unresponsive, which the
+  // post-dial delays show. Protects against judging every exchange unresponsive after a surge that this office caused
+  // itself.
+  static bool hasAnsweredSince(const Exchange& exchange, Instant sentAt) {
+    for (std::size_t i = exchange.directOutcomes.size(); i-- > 0 && exchange.directOutcomes[i].at > sentAt;) {
+      if (exchange.directOutcomes[i].value) return true;
     }
     return false;
   }
 
-  // Page's CUSUM over the last outcomes: a sound exchange leaves 1 INVITE in 20 unanswered, a sick one 4
-  // in 5.
-  static bool condemned(const Samples<bool, 12>& outcomes) {
-    static const double good = std::log(0.2 / 0.95);
-    static const double bad = std::log(0.8 / 0.05);
+  // Outlier ejection with Page's CUSUM test over the last outcomes. A healthy exchange is assumed to leave 1 INVITE in
+  // 20 unanswered, an unhealthy one 4 in 5.
+  static bool isUnresponsive(const Samples<bool, 12>& outcomes) {
+    static const double answeredWeight = std::log(0.2 / 0.95);
+    static const double unansweredWeight = std::log(0.8 / 0.05);
     double sum = 0;
     for (std::size_t i = 0; i < outcomes.size(); ++i) {
-      sum = std::clamp(sum + (outcomes[i].value ? good : bad), 0.0, kThreshold + 1.0);
+      sum = std::clamp(sum + (outcomes[i].value ? answeredWeight : unansweredWeight), 0.0, kCusumThreshold + 1.0);
     }
-    return sum > kThreshold;
+    return sum > kCusumThreshold;
   }
-  // Two silent INVITEs in a row condemn, one never does. The sum goes little past the threshold, so that the
-  // first answer acquits however long the silence was.
-  static constexpr double kThreshold = 4.0;
+  // Two unanswered INVITEs in a row exceed the threshold, a single one never does. The sum is capped just above the
+  // threshold, so that the first answer brings it below however long the exchange was silent.
+  static constexpr double kCusumThreshold = 4.0;
 
-  bool fit(const Session& session, const Exchange& at) const {
-    return sound(session, at) && !pressed(session, at) && !lessThanUsual(session, at);
+  bool isEligible(const Session& session, const Exchange& exchange) const {
+    return isHealthy(session, exchange) && !isOverloaded(session, exchange) && !hasReducedCapacity(session, exchange);
   }
 
-  // Where exchanges report what they can take, one that fell below half of what it took at its best of late
-  // is thinned out by lot, and one that can take nothing gets nothing until the report is old. Answers of
-  // sessions that end there tell it long before delays or silence do to an office that seldom sends there.
-  // Guards against slow, ageing and hung processors; could hurt where reports tell of load, not of ability.
-  bool lessThanUsual(const Session& session, const Exchange& at) const {
-    if (at.reportedCapacity.size() == 0 || now_ - at.reportedCapacity.last().at > kFresh * 2) return false;
-    double usual = 0;
-    for (std::size_t i = 0; i < at.reportedCapacity.size(); ++i) usual = std::max(usual, at.reportedCapacity[i].value);
-    // At seven tenths a slowdown of all shut too many two-leg routes.
-    return at.reportedCapacity.last().value < 0.5 * usual * session.admissionDraw;
+  // Where exchanges report their capacity, sessions to one that has fallen below half of its recent maximum are
+  // admitted at random in proportion, and one that reports zero gets no session until the report is stale. The reports
+  // come with the answers to sessions that end there, so an office that seldom sends there learns of the loss of
+  // capacity long before it sees delays or time-outs. Protects against slow, ageing and hung processors;
+  // counterproductive if the reports give the current load instead of the capacity.
+  bool hasReducedCapacity(const Session& session, const Exchange& exchange) const {
+    if (exchange.reportedCapacity.size() == 0 || now_ - exchange.reportedCapacity.last().at > kSampleLifetime * 2)
+      return false;
+    double recentMaximum = 0;
+    for (std::size_t i = 0; i < exchange.reportedCapacity.size(); ++i)
+      recentMaximum = std::max(recentMaximum, exchange.reportedCapacity[i].value);
+    // With 0.7 instead of 0.5, a slowdown of all processors would block too many two-leg routes.
+    return exchange.reportedCapacity.last().value < 0.5 * recentMaximum * session.admissionDraw;
   }
 
-  bool sound(const Session& session, const Exchange& at) const {
-    if (at.readiness != Readiness::ready || now_ < at.blockedUntil) return false;
-    // Whoever left a direct INVITE unanswered or cut a direct session is no tandem until a direct one is
-    // answered: there are others, and its empty groups would draw two-leg sessions before the directory
-    // tells. Believed no longer than a far leg's turn-back: where few dial it direct nobody would acquit it.
-    if (twoLegs(session, at) && now_ - at.suspectedAt < kFading) return false;
-    const bool sick = condemned(at.directOutcomes) || (twoLegs(session, at) && condemned(at.tandemOutcomes));
-    return !sick || trialDue(session, at);
+  bool isHealthy(const Session& session, const Exchange& exchange) const {
+    if (exchange.readiness != Readiness::ready || now_ < exchange.blockedUntil) return false;
+    // An exchange that left a direct INVITE unanswered or reset a direct session is not used as a tandem until it has
+    // answered a direct INVITE. There are other tandems, and its empty groups would attract two-leg sessions before the
+    // directory reports the failure. The suspicion ends after the decay time of a turn-back, because an exchange that
+    // is seldom dialled directly would otherwise never be cleared.
+    if (hasTwoLegs(session, exchange) && now_ - exchange.suspectedAt < kTurnBackDecayTime) return false;
+    const bool isUnhealthy = isUnresponsive(exchange.directOutcomes) ||
+                             (hasTwoLegs(session, exchange) && isUnresponsive(exchange.tandemOutcomes));
+    return !isUnhealthy || isProbeDue(session, exchange);
   }
 
-  bool pressed(const Session& session, const Exchange& at) const {
-    // A two-leg session is work for a third processor, so it stands back first.
-    return std::max(everywhere_, delayAt(at)) > mayWait_ * (twoLegs(session, at) ? 1.0 / 3.0 : 1.0);
+  bool isOverloaded(const Session& session, const Exchange& exchange) const {
+    // A two-leg session adds work for a third processor, so it yields first, at a third of the delay.
+    return std::max(officeDelay_, expectedDelay(exchange)) >
+           delayLimit_ * (hasTwoLegs(session, exchange) ? 1.0 / 3.0 : 1.0);
   }
 
-  Span mayWait(const Session& session) const {
-    Span left = std::min(targetOf(session) - now_, session.service->postDialTarget);
-    // A set-up that waits longer than this is repeated, and each repeat is work for who waits already.
-    if (data_.retransmitAfter > Span::none()) left = std::min(left, data_.retransmitAfter);
-    return left * patienceShare(session);
+  // Longest expected delay into which the session may be sent.
+  Span longestAcceptableDelay(const Session& session) const {
+    Span timeLeft = std::min(currentDeadline(session) - now_, session.service->postDialTarget);
+    // A set-up that waits longer than this is retransmitted, and each retransmission is work for the processor that it
+    // already waits for.
+    if (config_.retransmitAfter > Span::none()) timeLeft = std::min(timeLeft, config_.retransmitAfter);
+    return timeLeft * delayLimitShare(session);
   }
 
-  bool twoLegs(const Session& session, const Exchange& at) const {
-    return !session.transit && &at != session.destination && !data_.usesPools;
+  // Whether an INVITE to this exchange would take two legs, with the exchange as the tandem.
+  bool hasTwoLegs(const Session& session, const Exchange& exchange) const {
+    return !session.transit && &exchange != session.destination && !config_.usesPools;
   }
 
-  bool trialDue(const Session& session, const Exchange& at) const {
-    return at.pendingInvites.empty() && now_ - at.lastProbe >= session.service->postDialTarget;
+  // An exchange that was judged unresponsive is probed with one INVITE at a time, at most once per post-dial target.
+  bool isProbeDue(const Session& session, const Exchange& exchange) const {
+    return exchange.pendingInvites.empty() && now_ - exchange.lastProbe >= session.service->postDialTarget;
   }
 
-  // ---- Processors --------------------------------------------------------------------------------------
+  // ---- Processor load ----------------------------------------------------------------------------------
 
-  bool inTime(const Session& session) const { return now_ < session.firstDialledAt + session.service->postDialTarget; }
+  bool isWithinTarget(const Session& session) const {
+    return now_ < session.firstDialledAt + session.service->postDialTarget;
+  }
 
-  double worth(const Session& session) const {
-    return session.service->value * (inTime(session) ? 1 : session.service->lateValue);
+  // What the session earns if it is established now.
+  double currentValue(const Session& session) const {
+    return session.service->value * (isWithinTarget(session) ? 1 : session.service->lateValue);
   }
 
-  // Share of the post-dial target that an expected delay may take: the dearer the session against the usual
-  // one, the more, so that a pressed processor is left to the dearer ones. Twice the usual was the best of
-  // half, once and twice over all deployments.
-  double patienceShare(const Session& session) const {
+  // Share of the post-dial target that an expected delay may take. It grows with the value of the session relative to
+  // twice the mean value of recent sessions, so that an overloaded processor is left to the higher-value ones.
+  double delayLimitShare(const Session& session) const {
     double sum = 0;
-    for (std::size_t i = 0; i < offered_.size(); ++i) sum += offered_[i].value.worth;
-    const double usual = offered_.size() > 0 ? sum / static_cast<double>(offered_.size()) : worth(session);
-    return worth(session) / (worth(session) + 2.0 * usual);
-  }
-
-  // The own processor works in turn, so whoever was sent before one that was answered has passed it. Guards
-  // against INVITEs that wait at slow or silent exchanges being counted as a line here. Could hurt where an
-  // office has several processors.
-  void leftOwnLine(const Session& session) {
-    const auto it = std::find(ownLine_.begin(), ownLine_.end(), &session);
-    if (it != ownLine_.end()) ownLine_.erase(ownLine_.begin(), it + 1);
-  }
-
-  Span delayEverywhere() const {
-    // Three at least, so that one slow or silent exchange does not shut the others.
-    const Span delay = quantile(delays_, 0.25, 3);
-    // What this office has under way passes its own processor first. A set-up, its answer and its release at
-    // both ends make up the shortest delay seen, and the rest of it is the way there and back; so seven
-    // tenths of it each are the line of one who comes now. Better than half and the whole on all six
-    // deployments together.
+    for (std::size_t i = 0; i < dialledSessions_.size(); ++i) sum += dialledSessions_[i].value.sessionValue;
+    const double meanValue =
+        dialledSessions_.size() > 0 ? sum / static_cast<double>(dialledSessions_.size()) : currentValue(session);
+    return currentValue(session) / (currentValue(session) + 2.0 * meanValue);
+  }
+
+  // The local processor works in order, so every INVITE sent before an answered one has passed it too. Protects against
+  // counting INVITEs that wait at slow or unresponsive exchanges as a queue of the local processor. Counterproductive
+  // if an office has several processors.
+  void leaveLocalQueue(const Session& session) {
+    const auto it = std::find(localQueue_.begin(), localQueue_.end(), &session);
+    if (it != localQueue_.end()) localQueue_.erase(localQueue_.begin(), it + 1);
+  }
+
+  // Delay that an INVITE of this office meets whatever the exchange: the lower quartile of the recent post-dial delays,
+  // or the estimated delay in the queue of the local processor if that is longer.
+  Span expectedOfficeDelay() const {
+    // At least three samples, so that a single slow or unresponsive exchange does not block the others.
+    const Span delay = quantile(officePostDialDelays_, 0.25, 3);
+    // The pending INVITEs of this office pass the local processor first. The shortest delay seen consists of the
+    // processing of a set-up, its answer and its release at both ends, and of the round-trip time. 0.7 of it is taken
+    // as the time that each INVITE in the local queue adds.
     Span shortest = Span::none();
-    for (std::size_t i = 0; i < delays_.size(); ++i) {
-      shortest = i == 0 ? delays_[i].value : std::min(shortest, delays_[i].value);
+    for (std::size_t i = 0; i < officePostDialDelays_.size(); ++i) {
+      shortest = i == 0 ? officePostDialDelays_[i].value : std::min(shortest, officePostDialDelays_[i].value);
     }
-    return std::max(delay, std::min(shortest * 0.7, mostEach()) * static_cast<double>(ownLine_.size()));
-  }
-
-  // A processor works in turn, so an INVITE that one sent after it has overtaken waits in no line there: it or
-  // its answer is lost. Guards against one such INVITE shutting an exchange until it times out.
-  // Where the way is long it is nearly all of the shortest delay. Where exchanges report what they can take,
-  // the best of them tells what a set-up is to a processor; twice that leaves room for its answer and release
-  // (four times was no better). Guards against an office far from all others taking what is on its way for a
-  // line. Could hurt where the own processor is much slower than the best; delays seen tell of that.
-  Span mostEach() const {
-    double room = 0;
-    for (const Exchange* at : exchanges_) {
-      if (at->reportedCapacity.size() > 0) room = std::max(room, at->reportedCapacity.last().value);
+    return std::max(delay, std::min(shortest * 0.7, maxProcessingTime()) * static_cast<double>(localQueue_.size()));
+  }
+
+  // Upper bound on the time for which an INVITE occupies the local processor. With a long round-trip time, nearly all
+  // of the shortest delay is propagation. Where exchanges report their capacity, the highest reported one gives the
+  // processing time of a set-up; twice that leaves time for its answer and release. Protects against an office far from
+  // all others taking INVITEs in transmission for a queue. Counterproductive if the local processor is much slower than
+  // the fastest one; observed delays then show it.
+  Span maxProcessingTime() const {
+    double highestCapacity = 0;
+    for (const Exchange* exchange : exchanges_) {
+      if (exchange->reportedCapacity.size() > 0)
+        highestCapacity = std::max(highestCapacity, exchange->reportedCapacity.last().value);
     }
-    return room > 0 ? Span::ms(2 * 1000.0 / room) : Span::ms(1e9);
-  }
-
-  Span delayAt(const Exchange& at) const {
-    const Span delay = quantile(at.postDialDelays, 0.5, 1);
-    Instant passed = at.started;  // nor is what the processor before left unanswered a line of this one
-    for (std::size_t i = 0; i < at.postDialDelays.size(); ++i) {
-      passed = std::max(passed, at.postDialDelays[i].at - at.postDialDelays[i].value);
+    return highestCapacity > 0 ? Span::ms(2 * 1000.0 / highestCapacity) : Span::ms(1e9);
+  }
+
+  // Delay that an INVITE to this exchange is expected to meet there: the median of its recent post-dial delays, or the
+  // age of its oldest pending INVITE if that is longer. A processor works in order, so an INVITE that a later one has
+  // overtaken does not wait in a queue there: the INVITE or its answer is lost. Protects against one such INVITE
+  // blocking an exchange until it times out.
+  Span expectedDelay(const Exchange& exchange) const {
+    const Span delay = quantile(exchange.postDialDelays, 0.5, 1);
+    Instant processedUntil = exchange.started;  // INVITEs from before a restart are not queued at the new processor
+    for (std::size_t i = 0; i < exchange.postDialDelays.size(); ++i) {
+      processedUntil = std::max(processedUntil, exchange.postDialDelays[i].at - exchange.postDialDelays[i].value);
     }
-    for (const Session* session : at.pendingInvites) {
-      if (session->sentAt >= passed) return std::max(delay, now_ - session->sentAt);
+    for (const Session* session : exchange.pendingInvites) {
+      if (session->sentAt >= processedUntil) return std::max(delay, now_ - session->sentAt);
     }
     return delay;
   }
 
-  // Samples older than this tell of another state of the processor. About the longest post-dial target.
-  static constexpr Span kFresh = Span::ms(2000);
+  // Older samples describe a former state of the processor. About the longest post-dial target.
+  static constexpr Span kSampleLifetime = Span::ms(2000);
 
-  // A line that nobody adds to gets shorter by as much as goes by; half of that, as others go on sending.
-  static constexpr double kDrain = 0.5;
+  // Rate at which a sampled delay is assumed to shrink with its age. A queue that nothing is added to drains by the
+  // time that passes (1.0); half of that, as other offices continue to send.
+  static constexpr double kQueueDrainRate = 0.5;
 
+  // Quantile of the recent samples, corrected for their age; zero if there are fewer than `minimumCount`.
   template <std::size_t N>
-  Span quantile(const Samples<Span, N>& samples, double at, std::size_t least) const {
-    std::vector<Span> fresh;
+  Span quantile(const Samples<Span, N>& samples, double fraction, std::size_t minimumCount) const {
+    std::vector<Span> recent;
     for (std::size_t i = 0; i < samples.size(); ++i) {
       const Span age = now_ - samples[i].at;
-      if (age <= kFresh) fresh.push_back(std::max(samples[i].value - age * kDrain, Span::none()));
+      if (age <= kSampleLifetime) recent.push_back(std::max(samples[i].value - age * kQueueDrainRate, Span::none()));
     }
-    if (fresh.size() < least) return Span::none();
-    std::sort(fresh.begin(), fresh.end());
-    return fresh[static_cast<std::size_t>(at * static_cast<double>(fresh.size() - 1))];
+    if (recent.size() < minimumCount) return Span::none();
+    std::sort(recent.begin(), recent.end());
+    return recent[static_cast<std::size_t>(fraction * static_cast<double>(recent.size() - 1))];
   }
 
   // ---- Cold starts -------------------------------------------------------------------------------------
 
-  bool cold(const Exchange& at) const { return now_ - at.started < data_.warmUpTime; }
-
-  // This office's part of what a cold processor can take, so that the parts of all offices come to no more than it can.
-  // A warm one bears its usual load: what its own subscribers dial, and what all others dial to it. A cold one bears
-  // coldCapacityShare of that at least, and overloadFactor times as much for one tip window. So each office may send it
-  // as much of the usual load as it has of it; the sum is within what the settings allow, however many offices and
-  // however uneven their traffic. What is dialled beyond the part is thinned out by lot: offices that know nothing of
-  // each other then keep to the sum on average, and the rest is chance. Sessions past their target are the first to go.
-  // Never more than the part and what chance adds to it, for a rush that the average does not show yet: a floor of two
-  // an office, as it was here, is in a fleet of thirty more than any cold processor can take. Guards against restarts
-  // of many at once, mass returns, and fleets too large for a floor an office; hurts where a processor starts far above
-  // coldCapacityShare, or where subscribers suddenly dial elsewhere. tests/cold_fleet.cpp counts the sum; shapes 1 and
-  // 2, windows 2 to 4, 0 to 1 roots for chance: these are the least strict of them that keep the sum in a threefold
-  // rush and in a threefold return.
-  bool withinColdPart(const Session& session, const Exchange& to) const {
-    if (!cold(to)) return true;
-    const double part = data_.coldCapacityShare * data_.overloadFactor * kSpare * usual(to).toExchange;
+  bool isCold(const Exchange& exchange) const { return now_ - exchange.started < config_.warmUpTime; }
+
+  // Slow start: whether the session is within this office's share of the capacity of a cold processor. The shares of
+  // all offices together must not exceed that capacity. A warm processor carries its usual load: what its own
+  // subscribers dial, and what all others dial to it. A cold one can carry at least coldCapacityShare of that, and
+  // overloadFactor times as much for one overload window. Each office may therefore send it the same fraction of the
+  // usual load that the office contributes; the sum stays within the configured limit however many offices there are
+  // and however uneven their traffic is.
+  //
+  // Demand above the share is admitted at random: offices that do not communicate then keep to the sum on average, and
+  // the rest is random variation. Sessions past their post-dial target are refused first. The number of INVITEs is
+  // bounded by the share plus one standard deviation, which limits a surge that the average does not show yet. There is
+  // no minimum per office, because two INVITEs per office are more than any cold processor can take in a fleet of 30.
+  //
+  // Protects against simultaneous restarts, mass returns, and fleets too large for a minimum per office.
+  // Counterproductive if a processor starts far above coldCapacityShare, or if subscribers suddenly dial elsewhere.
+  // tests/cold_fleet.cpp checks the sum. The averaging period and margins below are the least strict ones that keep the
+  // sum within the limit when total demand, or demand for the restarted exchange, triples.
+  bool isWithinColdStartShare(const Session& session, const Exchange& to) const {
+    if (!isCold(to)) return true;
+    const double share =
+        config_.coldCapacityShare * config_.overloadFactor * kPlannedHeadroom * usualDemandFor(to).toExchange;
     double sent = 0;
-    for (std::size_t i = 0; i < to.inviteTimes.size(); ++i) sent += now_ - to.inviteTimes[i].at <= data_.overloadWindow;
-    if (sent > std::min(part + std::sqrt(part), to.inviteTimes.room() - 1.0)) return false;
-    if (session.transit) return true;  // its own office has drawn the lot
-    const double wanted = std::max(beyondChance(sent), dialledOfLate(to));
-    return wanted <= part || (inTime(session) && session.admissionDraw * wanted < part);
-  }
-
-  // Processors are planned to be busy for some three quarters of their time with the usual load: near nine tenths the
-  // line before them is nine set-ups long in the mean.
-  static constexpr double kSpare = 1 / 0.75;
-
-  static double beyondChance(double count) { return count - 0.2 * std::sqrt(count); }
-
-  // Sessions in a tip window that this office dials there by now, the one in hand not counted. Over the last few
-  // windows, as the mean of what is usual and what is seen; and what the last one alone has beyond chance, there and to
-  // all exchanges.
-  double dialledOfLate(const Exchange& to) const {
-    static constexpr double kWindows = 3, kShape = 2;
-    double there = 0, thereLately = 0, lately = 0;
-    for (std::size_t i = 0; i + 1 < offered_.size(); ++i) {
-      const Span age = now_ - offered_[i].at;
-      const bool goesThere = to.own || offered_[i].value.place == to.place, late = age <= data_.overloadWindow;
-      there += goesThere && age <= data_.overloadWindow * kWindows;
-      thereLately += goesThere && late;
-      lately += late && offered_[i].value.inTime;
+    for (std::size_t i = 0; i < to.inviteTimes.size(); ++i)
+      sent += now_ - to.inviteTimes[i].at <= config_.overloadWindow;
+    if (sent > std::min(share + std::sqrt(share), to.inviteTimes.capacity() - 1.0)) return false;
+    if (session.transit) return true;  // the originating office has already made the random draw
+    const double demand = std::max(lessRandomVariation(sent), recentDemand(to));
+    return demand <= share || (isWithinTarget(session) && session.admissionDraw * demand < share);
+  }
+
+  // Processors are dimensioned to be busy for about three quarters of the time under the usual load: near 0.9 the mean
+  // queue length would be nine set-ups.
+  static constexpr double kPlannedHeadroom = 1 / 0.75;
+
+  // A count of events less 0.2 standard deviations of a Poisson variable of that mean.
+  static double lessRandomVariation(double count) { return count - 0.2 * std::sqrt(count); }
+
+  // Sessions per overload window that this office currently dials to the exchange, without the session being decided:
+  // the highest of three estimates. The first is the gamma-Poisson posterior mean over the last few windows, with the
+  // usual demand as the prior mean. The others count the last window alone, less random variation: sessions to this
+  // exchange, and sessions to all exchanges times the usual share of this one.
+  double recentDemand(const Exchange& to) const {
+    static constexpr double kAveragedWindows = 3, kPriorShape = 2;
+    double countThere = 0, countThereInWindow = 0, countInWindow = 0;
+    for (std::size_t i = 0; i + 1 < dialledSessions_.size(); ++i) {
+      const Span age = now_ - dialledSessions_[i].at;
+      const bool isThere = to.own || dialledSessions_[i].value.destinationPlace == to.place,
+                 isInWindow = age <= config_.overloadWindow;
+      countThere += isThere && age <= config_.overloadWindow * kAveragedWindows;
+      countThereInWindow += isThere && isInWindow;
+      countInWindow += isInWindow && dialledSessions_[i].value.isWithinTarget;
     }
-    const auto [each, usuallyThere] = usual(to);
-    if (usuallyThere <= 0) return 1;
-    const double known = std::min(kWindows, (now_ - offered_[0].at) / data_.overloadWindow);
-    const double slow = usuallyThere * (there + kShape) / (usuallyThere * known + kShape);
-    return std::max({slow, beyondChance(thereLately), beyondChance(lately) * usuallyThere / each});
-  }
-
-  // What this office usually dials, and of it to that exchange. Where it dialled little, an even part of it goes there.
-  // Redials are left out: they come the faster the less can be taken.
-  UsualDemand usualUntil(Instant until, const Exchange& to) const {
-    double first = 0, there = 0, others = 0;
-    for (std::size_t i = 0; i < offered_.size() && offered_[i].at <= until; ++i) {
-      first += offered_[i].value.first;
-      there += offered_[i].value.first && offered_[i].value.place == to.place;
+    const auto [usualTotal, usualThere] = usualDemandFor(to);
+    if (usualThere <= 0) return 1;
+    const double observedWindows = std::min(kAveragedWindows, (now_ - dialledSessions_[0].at) / config_.overloadWindow);
+    const double posteriorMean = usualThere * (countThere + kPriorShape) / (usualThere * observedWindows + kPriorShape);
+    return std::max({posteriorMean, lessRandomVariation(countThereInWindow),
+                     lessRandomVariation(countInWindow) * usualThere / usualTotal});
+  }
+
+  // Demand of this office until the given instant, in total and to one exchange. The latter is smoothed with an even
+  // share for each exchange, which prevails if the office has dialled little. Redials are left out, because they become
+  // more frequent the less is admitted.
+  UsualDemand estimateUsualDemand(Instant until, const Exchange& to) const {
+    double firstTries = 0, firstTriesThere = 0, otherExchanges = 0;
+    for (std::size_t i = 0; i < dialledSessions_.size() && dialledSessions_[i].at <= until; ++i) {
+      firstTries += dialledSessions_[i].value.isFirstTry;
+      firstTriesThere += dialledSessions_[i].value.isFirstTry && dialledSessions_[i].value.destinationPlace == to.place;
     }
-    if (first == 0) return {0, 0};
-    const double each = first / std::max(1.0, (until - offered_[0].at) / data_.overloadWindow);
-    if (to.own) return {each, each};
-    for (const Exchange* exchange : exchanges_) others += exchange->readiness == Readiness::ready && !exchange->own;
-    if (data_.usesPools) return {each, each / std::max(1.0, others)};
-    others = std::max({1.0, others, data_.fleetSize - 1.0});
-    return {each, each * (there + 1) / (first + others)};
-  }
-
-  // Before that exchange started, as what comes then may be a rush that its start has made. Where the office had not
-  // run for a tip window by then, all that it knows.
-  UsualDemand usual(const Exchange& to) const {
-    return to.usualDemand.perWindow < 0 ? usualUntil(now_, to) : to.usualDemand;
-  }
-
-  // ---- Alarms and the directory ------------------------------------------------------------------------
-
-  void wakeForTheNext() {
-    beatAt_ = now_ + kBeat;
-    Instant next = data_.mustSubscribe ? std::min(askAt_, beatAt_) : beatAt_;
-    for (const Session* session : waiting_) next = std::min(next, session->nextDecisionAt);
-    if (wakeAt_ > now_ && wakeAt_ <= next) return;
-    wakeAt_ = next;
+    if (firstTries == 0) return {0, 0};
+    const double perWindow = firstTries / std::max(1.0, (until - dialledSessions_[0].at) / config_.overloadWindow);
+    if (to.own) return {perWindow, perWindow};
+    for (const Exchange* exchange : exchanges_)
+      otherExchanges += exchange->readiness == Readiness::ready && !exchange->own;
+    if (config_.usesPools) return {perWindow, perWindow / std::max(1.0, otherExchanges)};
+    otherExchanges = std::max({1.0, otherExchanges, config_.fleetSize - 1.0});
+    return {perWindow, perWindow * (firstTriesThere + 1) / (firstTries + otherExchanges)};
+  }
+
+  // The demand from before the exchange started, because its restart may have caused a surge since. If the office had
+  // not run for an overload window by then, the demand up to now.
+  UsualDemand usualDemandFor(const Exchange& to) const {
+    return to.usualDemand.perWindow < 0 ? estimateUsualDemand(now_, to) : to.usualDemand;
+  }
+
+  // ---- Timers and the directory ------------------------------------------------------------------------
+
+  void scheduleNextRound() {
+    nextTickAt_ = now_ + kTickInterval;
+    Instant next = config_.mustSubscribe ? std::min(subscribeAt_, nextTickAt_) : nextTickAt_;
+    for (const Session* session : openSessions_) next = std::min(next, session->nextDecisionAt);
+    if (wakeUpAt_ > now_ && wakeUpAt_ <= next) return;
+    wakeUpAt_ = next;
     sink_->scheduleWakeUp(std::max(next - now_, Span::ms(1)));
   }
 
   void subscribe() {
     sink_->subscribe();
-    askAt_ = Instant::never();
+    subscribeAt_ = Instant::never();
   }
 
-  const OfficeConfig& data_;
-  std::vector<Samples<Span, 16>> limits_;  // by service: what callers' own timer limits lately were
-  std::ranlux24_base chance_;
+  const OfficeConfig& config_;
+  std::vector<Samples<Span, 16>> recentTimerLimits_;  // by service: time to the timer limit of recent first tries
+  std::ranlux24_base random_;
   Instant now_;
   DecisionSink* sink_ = nullptr;
-  std::vector<Exchange*> exchanges_;  // in the order they were first listed
-  Exchange* own_ = nullptr;
-  std::vector<Session*> waiting_;
-  std::vector<std::pair<Session*, Span>> ended_;  // to be refused in this round
-  struct Dialled {
-    double worth;
-    bool inTime;
-    bool first;  // no redial
-    int place;   // dialled; exchanges come and go there
+  std::vector<Exchange*> exchanges_;  // in the order in which they were first listed
+  Exchange* ownExchange_ = nullptr;
+  std::vector<Session*> openSessions_;                       // without a pending INVITE or a final answer
+  std::vector<std::pair<Session*, Span>> deferredRefusals_;  // refused in this round; with the retry-after
+  struct DialledSession {
+    double sessionValue;
+    bool isWithinTarget;
+    bool isFirstTry;       // not a redial
+    int destinationPlace;  // the place that was dialled, since exchanges can be replaced; -1 if unknown
   };
-  Samples<Dialled, 256> offered_;  // sessions that subscribers of this office dialled
-  Samples<Span, 16> delays_;       // post-dial delays, wherever they went
-  struct Refused {
+  Samples<DialledSession, 256> dialledSessions_;  // by subscribers of this office
+  Samples<Span, 16> officePostDialDelays_;        // to all exchanges
+  struct Refusal {
     std::uint64_t number;
     const Service* service;
-    Instant dialled;
+    Instant firstDialledAt;
   };
-  std::vector<Refused> refused_;
-  std::unordered_map<std::uint64_t, Instant> busyNumbers_;
-  Instant askAt_ = Instant::distantPast();
-  std::vector<const Session*> ownLine_;  // INVITEs out that may not have passed the own processor yet
-  Span mayWait_;                         // of the session in hand: the longest delay it may be sent into
-  Span everywhere_;                      // the delay that one in hand meets whatever the exchange
-  Instant wakeAt_ = Instant::distantPast();
-  Instant beatAt_ = Instant::distantPast();
-  Span lateBy_;
+  std::vector<Refusal> recentRefusals_;                     // oldest first
+  std::unordered_map<std::uint64_t, Instant> busyNumbers_;  // when each was last found busy
+  Instant subscribeAt_ = Instant::distantPast();
+  std::vector<const Session*> localQueue_;  // pending INVITEs that may not have passed the local processor yet
+  Span delayLimit_;                         // longest expected delay into which the session being decided may be sent
+  Span officeDelay_;                        // delay that the session being decided meets whatever the exchange
+  Instant wakeUpAt_ = Instant::distantPast();
+  Instant nextTickAt_ = Instant::distantPast();
+  Span stallTime_;  // by how much this round is late; zero if it is not
 };
 
 }  // namespace
 
-std::unique_ptr<Controller> makeController(const OfficeConfig& data, std::uint64_t seed) {
-  return std::make_unique<Rules>(data, seed);
+std::unique_ptr<Controller> makeController(const OfficeConfig& config, std::uint64_t seed) {
+  return std::make_unique<RoutingController>(config, seed);
 }
 
 }  // namespace thistlefold
