--- a/src/wire/exchange_registry.cpp
+++ b/src/wire/exchange_registry.cpp
@@ -7,7 +7,7 @@
 ListedExchange& ExchangeRegistry::findOrCreate(std::uint32_t id) {
   auto& exchange = exchanges_[id];
   if (exchange == nullptr) {
-    exchange = make_();
+    exchange = factory_();
     exchange->id = id;
   }
   return *exchange;
@@ -20,23 +20,24 @@
 
 Exchange* ExchangeRegistry::atPlace(double place) const {
   if (!(place >= -1e9 && place <= 1e9)) return nullptr;
-  const auto it = places_.find(static_cast<int>(place));
-  return it == places_.end() ? nullptr : it->second;
+  const auto it = exchangesByPlace_.find(static_cast<int>(place));
+  return it == exchangesByPlace_.end() ? nullptr : it->second;
 }
 
-void ExchangeRegistry::applyList(Controller& controller, const std::vector<ListEntry>& lines, bool whole) {
-  for (const ListEntry& line : lines) {
-    ListedExchange& listed = findOrCreate(line.id);
-    if (line.hasPlace) listed.place = line.place;
-    listed.own = listed.place == here_ && here_ >= 0;
-    Exchange*& holder = places_[listed.place];
-    if (holder == nullptr || line.readiness == Readiness::ready) holder = &listed;
-    controller.exchangeListed(listed, line.readiness, line.started);
+void ExchangeRegistry::applyList(Controller& controller, const std::vector<ListEntry>& entries, bool isComplete) {
+  for (const ListEntry& entry : entries) {
+    ListedExchange& listed = findOrCreate(entry.id);
+    if (entry.hasPlace) listed.place = entry.place;
+    listed.own = listed.place == ownPlace_ && ownPlace_ >= 0;
+    Exchange*& holder = exchangesByPlace_[listed.place];
+    if (holder == nullptr || entry.readiness == Readiness::ready) holder = &listed;
+    controller.exchangeListed(listed, entry.readiness, entry.started);
   }
-  if (!whole) return;
+  if (!isComplete) return;
   for (auto& [id, listed] : exchanges_) {
-    const bool named = std::any_of(lines.begin(), lines.end(), [&](const ListEntry& line) { return line.id == id; });
-    if (!named) controller.exchangeListed(*listed, Readiness::gone, listed->started);
+    const bool isNamed =
+        std::any_of(entries.begin(), entries.end(), [&](const ListEntry& entry) { return entry.id == id; });
+    if (!isNamed) controller.exchangeListed(*listed, Readiness::gone, listed->started);
   }
 }
 
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -6,8 +6,8 @@
 
 std::string_view text(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-[[noreturn]] void failField(const char* field, const char* wanted) {
-  throw ParseError(std::string("field ") + field + ": " + wanted);
+[[noreturn]] void failField(const char* field, const char* problem) {
+  throw ParseError(std::string("field ") + field + ": " + problem);
 }
 
 const Value* find(const Value& fields, const char* name) {
@@ -28,14 +28,14 @@
 
 double number(const Value& fields, const char* name) { return asNumber(requireField(fields, name), name); }
 
-double number(const Value& fields, const char* name, double absent) {
+double number(const Value& fields, const char* name, double defaultValue) {
   const Value* value = find(fields, name);
-  return value == nullptr ? absent : asNumber(*value, name);
+  return value == nullptr ? defaultValue : asNumber(*value, name);
 }
 
-int integer(const Value& fields, const char* name, std::optional<int> absent) {
+int integer(const Value& fields, const char* name, std::optional<int> defaultValue) {
   const Value* value = find(fields, name);
-  if (value == nullptr && absent) return *absent;
+  if (value == nullptr && defaultValue) return *defaultValue;
   const double read = value == nullptr ? number(fields, name) : asNumber(*value, name);
   if (std::abs(read) > 2e9 || read != std::floor(read)) failField(name, "a whole number is wanted");
   return static_cast<int>(read);
@@ -54,8 +54,8 @@
   return text(value);
 }
 
-std::string_view name(const Value& fields, const char* field, std::string_view absent) {
-  return find(fields, field) == nullptr ? absent : name(fields, field);
+std::string_view name(const Value& fields, const char* field, std::string_view defaultValue) {
+  return find(fields, field) == nullptr ? defaultValue : name(fields, field);
 }
 
 const Value& object(const Value& fields, const char* field) {
@@ -74,8 +74,8 @@
   return *value;
 }
 
-double element(const Value& list, rapidjson::SizeType index, const char* field, double absent) {
-  return index < list.Size() ? asNumber(list[index], field) : absent;
+double element(const Value& list, rapidjson::SizeType index, const char* field, double defaultValue) {
+  return index < list.Size() ? asNumber(list[index], field) : defaultValue;
 }
 
 std::uint32_t exchangeId(const Value& fields) {
--- a/src/wire/office_config.cpp
+++ b/src/wire/office_config.cpp
@@ -4,47 +4,47 @@
 
 namespace thistlefold::wire {
 
-OfficeConfig readOfficeConfig(const Value& conf) {
-  OfficeConfig data;
-  const Value& caps = object(conf, "Caps");
-  const Value& family = object(conf, "FamilyInfo");
-  const Value& obligations = object(conf, "Obligations");
-  const Value& skills = array(family, "ClassCells");
-  const Value& holds = array(family, "MeanHold");
-  const Value& grades = array(conf, "Grades");
-  for (rapidjson::SizeType i = 0; i < grades.Size(); ++i) {
-    if (!grades[i].IsObject()) failField("Grades", "objects are wanted");
+OfficeConfig readOfficeConfig(const Value& settings) {
+  OfficeConfig config;
+  const Value& capabilities = object(settings, "Caps");
+  const Value& familyInfo = object(settings, "FamilyInfo");
+  const Value& obligations = object(settings, "Obligations");
+  const Value& poolsByService = array(familyInfo, "ClassCells");
+  const Value& meanHolds = array(familyInfo, "MeanHold");
+  const Value& services = array(settings, "Grades");
+  for (rapidjson::SizeType i = 0; i < services.Size(); ++i) {
+    if (!services[i].IsObject()) failField("Grades", "objects are wanted");
     Service service;
-    service.value = number(grades[i], "Credit", 1);
-    service.lateValue = number(grades[i], "LateValue", 0);
-    service.postDialTarget = Span::ms(number(grades[i], "Aim"));
-    service.timerLimit = Span::ms(number(grades[i], "GiveUp"));
-    service.meanHold = Span::ms(element(holds, i, "MeanHold", 0));
-    service.repeatable = name(grades[i], "Semantics", "read_like") == "read_like";
-    if (i < skills.Size() && !skills[i].IsNull()) {
-      if (!skills[i].IsArray()) failField("ClassCells", "arrays are wanted");
-      for (rapidjson::SizeType k = 0; k < skills[i].Size(); ++k) {
-        service.pools.push_back(static_cast<int>(element(skills[i], k, "ClassCells", -1)));
+    service.value = number(services[i], "Credit", 1);
+    service.lateValue = number(services[i], "LateValue", 0);
+    service.postDialTarget = Span::ms(number(services[i], "Aim"));
+    service.timerLimit = Span::ms(number(services[i], "GiveUp"));
+    service.meanHold = Span::ms(element(meanHolds, i, "MeanHold", 0));
+    service.repeatable = name(services[i], "Semantics", "read_like") == "read_like";
+    if (i < poolsByService.Size() && !poolsByService[i].IsNull()) {
+      if (!poolsByService[i].IsArray()) failField("ClassCells", "arrays are wanted");
+      for (rapidjson::SizeType k = 0; k < poolsByService[i].Size(); ++k) {
+        service.pools.push_back(static_cast<int>(element(poolsByService[i], k, "ClassCells", -1)));
       }
     }
-    data.services.push_back(service);
+    config.services.push_back(service);
   }
-  data.fleetSize = integer(conf, "ReplicasOfMe", 0);
-  data.usesPools = name(family, "Topology", "mesh") == "pools";
-  data.maxInvites = integer(caps, "MaxAttempts", 1);
-  data.mustSubscribe = name(conf, "Discovery", "pushed") == "on_request";
-  data.listStaleAfter = Span::ms(number(obligations, "AskWithin", 0));
-  data.honoursRetryAfter = flag(caps, "RetryAfter");
-  data.longestRetryAfter = Span::ms(number(caps, "MaxRetryAfter", 0));
-  data.releaseTime = Span::ms(number(family, "ClearWait", 0));
-  data.retransmitAfter = Span::ms(number(family, "T1", 0));
-  data.coldCapacityShare = number(obligations, "ColdFrom", 0);
-  data.warmUpTime = Span::ms(number(obligations, "WarmAfter", 0));
-  data.overloadFactor = number(obligations, "FallMultiple", 0);
-  data.overloadWindow = Span::ms(number(obligations, "TipAfter", 0));
-  return data;
+  config.fleetSize = integer(settings, "ReplicasOfMe", 0);
+  config.usesPools = name(familyInfo, "Topology", "mesh") == "pools";
+  config.maxInvites = integer(capabilities, "MaxAttempts", 1);
+  config.mustSubscribe = name(settings, "Discovery", "pushed") == "on_request";
+  config.listStaleAfter = Span::ms(number(obligations, "AskWithin", 0));
+  config.honoursRetryAfter = flag(capabilities, "RetryAfter");
+  config.longestRetryAfter = Span::ms(number(capabilities, "MaxRetryAfter", 0));
+  config.releaseTime = Span::ms(number(familyInfo, "ClearWait", 0));
+  config.retransmitAfter = Span::ms(number(familyInfo, "T1", 0));
+  config.coldCapacityShare = number(obligations, "ColdFrom", 0);
+  config.warmUpTime = Span::ms(number(obligations, "WarmAfter", 0));
+  config.overloadFactor = number(obligations, "FallMultiple", 0);
+  config.overloadWindow = Span::ms(number(obligations, "TipAfter", 0));
+  return config;
 }
 
-int ownPlace(const Value& conf) { return integer(object(conf, "FamilyInfo"), "ThisNode", -1); }
+int ownPlace(const Value& settings) { return integer(object(settings, "FamilyInfo"), "ThisNode", -1); }
 
 }  // namespace thistlefold::wire
--- a/src/wire/office_config.hpp
+++ b/src/wire/office_config.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-// What an office is told when it is put into service: the simulator's first message and a softswitch's configuration
-// hold the same object.
+// The configuration object of an office in JSON: the bench's START message and the configuration of a softswitch
+// contain the same object.
 
 #include "thistlefold/office_config.hpp"
 #include "wire/fields.hpp"
 
 namespace thistlefold::wire {
 
-/// Throws ParseError.
-OfficeConfig readOfficeConfig(const Value& conf);
-/// The own exchange's place; -1 where there is none.
-int ownPlace(const Value& conf);
+/// Reads the configuration of an office. Throws ParseError if a required field is absent or a field has a wrong type.
+OfficeConfig readOfficeConfig(const Value& settings);
+/// The place of the own exchange, -1 if there is none. Throws ParseError.
+int ownPlace(const Value& settings);
 
 }  // namespace thistlefold::wire
