--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -674,7 +674,7 @@
     double sent = 0;
     for (std::size_t i = 0; i < to.inviteTimes.size(); ++i)
       sent += now_ - to.inviteTimes[i].at <= config_.overloadWindow;
-    if (sent > std::min(share + std::sqrt(share), to.inviteTimes.capacity() - 1.0)) return false;
+    if (sent > std::min(share + std::sqrt(share), static_cast<double>(to.inviteTimes.capacity()) - 1.0)) return false;
     if (session.transit) return true;  // the originating office has already made the random draw
     const double demand = std::max(lessRandomVariation(sent), recentDemand(to));
     return demand <= share || (isWithinTarget(session) && session.admissionDraw * demand < share);
--- a/src/wire/exchange_registry.cpp
+++ b/src/wire/exchange_registry.cpp
@@ -36,7 +36,7 @@
   if (!isComplete) return;
   for (auto& [id, listed] : exchanges_) {
     const bool isNamed =
-        std::any_of(entries.begin(), entries.end(), [&](const ListEntry& entry) { return entry.id == id; });
+        std::any_of(entries.begin(), entries.end(), [&id = id](const ListEntry& entry) { return entry.id == id; });
     if (!isNamed) controller.exchangeListed(*listed, Readiness::gone, listed->started);
   }
 }
--- a/tests/wire_judge.hpp
+++ b/tests/wire_judge.hpp
@@ -179,7 +179,7 @@
     if (isPending) addViolation(2, name + " sent an INVITE for " + ticket + " while another was pending");
     for (const Invite& earlier : session.invites) {
       if (now_ < earlier.endedAt + office.releaseTime)
-        addViolation(5, name + " sent " + ticket + " again within the release time");
+        addViolation(5, std::string(name).append(" sent ").append(ticket).append(" again within the release time"));
     }
     const auto listed = office.readiness.find(to);
     if (listed == office.readiness.end())
