--- a/include/thistlefold/office_config.hpp
+++ b/include/thistlefold/office_config.hpp
@@ -19,9 +19,9 @@
 
 /// Configuration of one office.
 struct OfficeConfig {
-  std::vector<Service> services;
+  std::vector<Service> services;   ///< must not be resized while sessions refer to them
   bool usesPools = false;          ///< exchanges are interchangeable agent pools instead of a mesh with tandems
-  int fleetSize = 0;               ///< offices in the whole fleet; 0 if unknown
+  int fleetSize = 0;               ///< offices in the whole fleet, including this one; 0 if unknown
   int maxInvites = 1;              ///< INVITEs per session
   bool mustSubscribe = false;      ///< the directory sends the list of exchanges only to subscribers
   Span listStaleAfter;             ///< time without news from the directory after which the list counts as stale
@@ -31,9 +31,8 @@
   Span retransmitAfter;            ///< interval at which an unanswered set-up is retransmitted; none() if it is not
   double coldCapacityShare = 0;    ///< share of the warm capacity that a processor has when it starts
   Span warmUpTime;                 ///< time until a started processor has its full capacity
-  double overloadFactor = 0;       ///< multiple of its capacity beyond which a processor fails if it
-                                   ///< receives that many set-ups within one overload window
-  Span overloadWindow;
+  double overloadFactor = 0;       ///< a processor fails if it receives more than this multiple of its capacity ...
+  Span overloadWindow;             ///< ... within a period of this length
 };
 
 }  // namespace thistlefold
--- a/include/thistlefold/session.hpp
+++ b/include/thistlefold/session.hpp
@@ -21,12 +21,12 @@
   bool transit = false;              ///< received from another office, for which this one is the tandem
   bool isReconnect = false;          ///< the caller dials again because its established session was dropped
 
-  Instant firstDialledAt;    ///< when the caller made its first try, of which this session may be a redial
-  Instant nextDecisionAt;    ///< no INVITE and no refusal is decided on before
-  double admissionDraw = 0;  ///< random number in [0, 1), drawn once per session
-  bool received = false;     ///< reported to the controller; further reports are ignored
-  bool finished = false;     ///< has a final answer, was abandoned or has ended
-  bool established = false;
+  Instant firstDialledAt;         ///< when the caller made its first try, of which this session may be a redial
+  Instant nextDecisionAt;         ///< no INVITE and no refusal is decided on before
+  double admissionDraw = 0;       ///< random number in [0, 1), drawn once per session
+  bool received = false;          ///< reported to the controller; further reports are ignored
+  bool finished = false;          ///< has a final answer, was abandoned or has ended
+  bool established = false;       ///< answered and not ended yet
   bool mayHaveExecuted = false;   ///< one of its INVITEs may have taken effect at the destination
   int invites = 0;                ///< INVITEs sent so far
   Exchange* pendingAt = nullptr;  ///< where its INVITE is pending or the session established, null if neither
--- a/src/bench_adapter/bench_adapter.cpp
+++ b/src/bench_adapter/bench_adapter.cpp
@@ -245,6 +245,7 @@
   }
 
   void onMembers(const Value& fields, const rapidjson::Document* list) {
+    // 0: a list of changes; 1 and 2: the complete list; 3: the directory did not give a list.
     const int mode = integer(fields, "Mode");
     if (mode < 0 || mode > 3) failField("Mode", "no such kind of list");
     if (mode == 3) {
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -132,6 +132,7 @@
     decisions_.clear();
     expected_.clear();
   }
+  // Returns false if the keyword is not a setting.
   bool readSetting(const std::string& keyword, std::istream& words) {
     if (keyword == "office") {
       readLine("service call 1 0.25 1500 9000; invites 6; clear-wait 300; retry-after 2000; own Here");
