--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -574,7 +574,7 @@
   /// The list that an office processed last.
   struct ListVersion {
     std::uint64_t directory = 0, version = 0;
-    Instant processedAt = Instant::longAgo();
+    Instant processedAt = Instant::distantPast();
   };
   std::map<int, ListVersion> lastLists_;
   std::vector<std::vector<std::pair<Instant, Instant>>> freezes_, downtimes_;
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -191,7 +191,7 @@
     const auto& to = names[static_cast<std::size_t>(budget.to)];
     const auto found = report.findings.circuitsInUse.find({from, to});
     int limit = budget.circuits, peak = 0, inUse = 0, tolerated = 0;
-    Instant enforcedFrom = Instant::longAgo();
+    Instant enforcedFrom = Instant::distantPast();
     std::size_t next = 0;
     static const std::vector<std::pair<Instant, int>> kNone;
     const auto& changes = found == report.findings.circuitsInUse.end() ? kNone : found->second;
@@ -215,7 +215,7 @@
         enforcedFrom = budget.overrun == zones::OverrunPolicy::end ? change.at + kBudgetEndTime : Instant::never();
       }
       inUse = circuits;
-      if (at >= enforcedFrom && enforcedFrom != Instant::longAgo()) tolerated = 0;
+      if (at >= enforcedFrom && enforcedFrom != Instant::distantPast()) tolerated = 0;
       peak = std::max(peak, circuits);
       if (circuits > std::max(limit, tolerated) && !std::exchange(exceeded, true)) {
         std::string line = "budget exceeded: ";
--- a/src/model/zone_model.cpp
+++ b/src/model/zone_model.cpp
@@ -370,7 +370,7 @@
   std::vector<int> places_;
   std::priority_queue<Event> events_;
   Instant now_;
-  Instant toleratedUntil_ = Instant::longAgo();
+  Instant toleratedUntil_ = Instant::distantPast();
   std::uint64_t order_ = 0, incarnations_ = 0, sessions_ = 0, refusals_ = 0;
   double arrivalRate_ = 1, overBudgetMs_ = 0, idleShareSum_ = 0;
   int orphanedCircuits_ = 0, overBudget_ = 0;
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -49,7 +49,7 @@
   std::vector<GroupSize> groups_;  // those that differ from the fleet file
   std::vector<iax2::Address> requesters_;
   Instant nextFullListAt_;
-  Instant failedUntil_ = Instant::longAgo();
+  Instant failedUntil_ = Instant::distantPast();
   std::uint64_t id_;  // differs for each start of a directory
   std::uint64_t version_ = 0;
 };
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -68,7 +68,9 @@
 class BudgetPart {
  public:
   explicit BudgetPart(std::vector<ServiceProfile> services)
-      : services_(std::move(services)), held_(services_.size()), requestedAt_(services_.size(), Instant::longAgo()) {}
+      : services_(std::move(services)),
+        held_(services_.size()),
+        requestedAt_(services_.size(), Instant::distantPast()) {}
 
   /// Replaces the bounds. Circuits that are held stay held, also above the bounds. `std::nullopt`: no budget, so no
   /// bound.
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -123,7 +123,7 @@
   struct ZonePeer {
     int place = 0;
     std::uint64_t incarnation = 0;
-    Instant lastReceivedAt = Instant::longAgo();
+    Instant lastReceivedAt = Instant::distantPast();
     std::int64_t newestSentAt = 0;  // `sentAt` of the newest message received from it
     bool isKnown = false;           // has reported what it holds since this office started
     // The peer as a borrower.
@@ -138,10 +138,10 @@
     // The peer as a lender.
     std::uint64_t seenSerial = 0;
     Units loan;
-    Instant loanUntil = Instant::longAgo();
+    Instant loanUntil = Instant::distantPast();
     Units offered, recalledByPeer, requested;
     bool contended = false;
-    Instant lastSentAt = Instant::longAgo();
+    Instant lastSentAt = Instant::distantPast();
     bool messageDue = false;  // a message to it is to be sent as soon as the minimum interval allows
   };
 
@@ -195,7 +195,7 @@
   bool hasUnmetRequests_ = false;                // some peer's request is unmet
   Instant unprocessedSince_ = Instant::never();  // messages were received that process() has not acted on yet
   Instant loweredAt_ = Instant::never();
-  Instant lastProcessedAt_ = Instant::longAgo();
+  Instant lastProcessedAt_ = Instant::distantPast();
 };
 
 }  // namespace thistlefold::zones
