--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -16,7 +16,7 @@
 class Host {
  public:
   explicit Host(iax2::Address listen)
-      : clock_(net::realClock(context_.get_executor())), port_(net::bindPort(context_.get_executor(), listen)) {}
+      : clock_(net::makeRealClock(context_.get_executor())), port_(net::bindPort(context_.get_executor(), listen)) {}
 
   net::Clock& clock() { return *clock_; }
   net::RealPort& port() { return *port_; }
--- a/src/command/node.cpp
+++ b/src/command/node.cpp
@@ -48,7 +48,7 @@
   asio::signal_set ends(context, SIGTERM, SIGINT), reread(context, SIGHUP);
   const platform::Deployment deployment = openDeployment(path);
 
-  const auto clock = net::realClock(context.get_executor());
+  const auto clock = net::makeRealClock(context.get_executor());
   net::StreamRunner streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections));
   platform::Softswitch softswitch(deployment, clock->now(), streams, makeController,
                                   [&](std::string_view what) { log->info("{}", what); });
@@ -60,7 +60,7 @@
   });
 
   const auto untilStopped = [&]() -> asio::awaitable<void> {
-    const auto timer = clock->timer();
+    const auto timer = clock->makeTimer();
     while (!softswitch.stopped(clock->now())) {
       timer->set(clock->now() + Span::ms(10));
       co_await timer->asyncWait();
@@ -82,7 +82,7 @@
   // A file that is still being written can't be read now, but may be shortly after.
   int rereading = 0;  // the newest signal's alone goes on
   const auto untilRead = [&](int mine) -> asio::awaitable<void> {
-    const auto timer = clock->timer();
+    const auto timer = clock->makeTimer();
     for (int tries = 0; tries < kRereads && mine == rereading; ++tries) {
       try {
         softswitch.reconfigured(clock->now(), openDeployment(path));
@@ -105,7 +105,7 @@
   };
   onHup();
   const auto accounting = [&]() -> asio::awaitable<void> {
-    const auto timer = clock->timer();
+    const auto timer = clock->makeTimer();
     for (;;) {
       timer->set(clock->now() + kAccountEvery);
       co_await timer->asyncWait();
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -133,7 +133,7 @@
       reread(host.context(), SIGHUP);
   const auto untilStopped = [&]() -> asio::awaitable<void> {
     const Instant latest = host.clock().now() + kStopWithin;
-    const auto timer = host.clock().timer();
+    const auto timer = host.clock().makeTimer();
     while (!office.stopped() && host.clock().now() < latest) {
       timer->set(host.clock().now() + Span::ms(10));
       co_await timer->asyncWait();
@@ -169,7 +169,7 @@
   std::cout << "listening " << text(host.port().address()) << std::endl;
   lines.say(spdlog::level::info, "started", 0, "",
             "listening at " + text(host.port().address()) + ", receive buffer " +
-                std::to_string(host.port().counts().receiveBuffer) + " bytes");
+                std::to_string(host.port().counters().receiveBufferBytes) + " bytes");
   host.run(counter);
   lines.say(spdlog::level::info, "stopped", 0, "", std::to_string(office.sessions()) + " sessions left");
   return office.stopped() ? 0 : 1;
--- a/src/day/loopback_testbed.cpp
+++ b/src/day/loopback_testbed.cpp
@@ -99,7 +99,7 @@
       : fleet_(std::move(fleet)),
         program_(std::move(program)),
         folder_(std::move(folder)),
-        clock_(net::realClock(context_.get_executor())) {
+        clock_(net::makeRealClock(context_.get_executor())) {
     std::filesystem::create_directories(folder_);
     for (std::size_t i = 0; i < fleet_.places.size(); ++i) {
       const int place = static_cast<int>(i);
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -43,7 +43,7 @@
   void place(iax2::Address identity, DatagramHandler& handler) override {
     if (hosts_.contains(identity)) throw TestbedError("two stations at " + iax2::text(identity));
     auto host = std::make_unique<Host>(clock_);
-    host->port = network_.port(identity);
+    host->port = network_.openPort(identity);
     host->runner = std::make_unique<net::DatagramRunner>(
         context_.get_executor(), handler, *host->port, host->clock,
         [identity](const char* what) { throw TestbedError("station " + iax2::text(identity) + ": " + what); });
@@ -55,7 +55,7 @@
     it->second->port->close();
     it->second->runner.reset();
     // The coroutines may still refer to port and clock until they have run once more.
-    clock_.at(clock_.now() + Span::ms(1), [gone = std::shared_ptr<Host>(std::move(it->second))] {});
+    clock_.callAt(clock_.now() + Span::ms(1), [gone = std::shared_ptr<Host>(std::move(it->second))] {});
     hosts_.erase(it);
   }
   void wakeUp(iax2::Address identity) override {
@@ -73,13 +73,13 @@
   }
   void killOffice(int place) override {
     remove(officeIdentity(place));
-    clock_.at(clock_.now() + Span::ms(2), [gone = std::shared_ptr<Office>(std::move(offices_[place]))] {});
+    clock_.callAt(clock_.now() + Span::ms(2), [gone = std::shared_ptr<Office>(std::move(offices_[place]))] {});
     offices_.erase(place);
   }
   void freezeOffice(int place, bool frozen) override {
-    network_.freeze(officeIdentity(place), frozen);
+    network_.setFrozen(officeIdentity(place), frozen);
     const auto host = hosts_.find(officeIdentity(place));
-    if (host != hosts_.end()) host->second->clock.freeze(frozen);
+    if (host != hosts_.end()) host->second->clock.setFrozen(frozen);
   }
   void stopOffice(int place) override {
     const auto office = offices_.find(place);
@@ -100,7 +100,7 @@
     return office->second->answer(clock_.now(), question);
   }
 
-  void at(Instant when, std::function<void()> what) override { clock_.at(when, std::move(what)); }
+  void at(Instant when, std::function<void()> what) override { clock_.callAt(when, std::move(what)); }
   void runUntil(Instant end) override { clock_.runUntil(end); }
 
  private:
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -24,7 +24,7 @@
  public:
   virtual ~Clock() = default;
   virtual Instant now() const = 0;
-  virtual std::unique_ptr<Timer> timer() = 0;
+  virtual std::unique_ptr<Timer> makeTimer() = 0;
 };
 
 }  // namespace thistlefold::net
--- a/src/net/datagram_runner.cpp
+++ b/src/net/datagram_runner.cpp
@@ -16,7 +16,7 @@
 
 struct DatagramRunner::State {
   State(DatagramHandler& of, Port& at, Clock& by, std::function<void(const char*)> tell)
-      : handler(&of), port(&at), clock(&by), timer(by.timer()), fault(std::move(tell)) {}
+      : handler(&of), port(&at), clock(&by), timer(by.makeTimer()), fault(std::move(tell)) {}
 
   void turn() {
     const Instant now = clock->now();
--- a/src/net/real.cpp
+++ b/src/net/real.cpp
@@ -73,7 +73,7 @@
  public:
   explicit RealClock(asio::any_io_executor executor) : executor_(std::move(executor)) {}
   Instant now() const override { return instant(Steady::now()) + ofDay_; }
-  std::unique_ptr<Timer> timer() override { return std::make_unique<RealTimer>(executor_, ofDay_); }
+  std::unique_ptr<Timer> makeTimer() override { return std::make_unique<RealTimer>(executor_, ofDay_); }
 
  private:
   const Span ofDay_ = ofDay();
@@ -102,8 +102,8 @@
     if (::setsockopt(fd, SOL_SOCKET, SO_RCVBUFFORCE, &kReceiveBuffer, sizeof kReceiveBuffer) != 0) {
       ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &kReceiveBuffer, sizeof kReceiveBuffer);
     }
-    socklen_t length = sizeof counts_.receiveBuffer;
-    ::getsockopt(fd, SOL_SOCKET, SO_RCVBUF, &counts_.receiveBuffer, &length);
+    socklen_t length = sizeof counters_.receiveBufferBytes;
+    ::getsockopt(fd, SOL_SOCKET, SO_RCVBUF, &counters_.receiveBufferBytes, &length);
     socket_.bind(endpoint);
     socket_.non_blocking(true);
     const auto local = socket_.local_endpoint();
@@ -135,7 +135,7 @@
         const iax2::Address from{ntohl(senders_[k].sin_addr.s_addr), ntohs(senders_[k].sin_port)};
         take(from, {buffers_[k].data(), heads_[k].msg_len});
       }
-      counts_.in += static_cast<std::uint64_t>(got);
+      counters_.in += static_cast<std::uint64_t>(got);
       taken += static_cast<std::size_t>(got);
       if (static_cast<unsigned>(got) < wanted) break;
     }
@@ -146,20 +146,20 @@
     const sockaddr_in at = socketAddress(to);
     const auto sent = ::sendto(socket_.native_handle(), datagram.data(), datagram.size(), MSG_DONTWAIT,
                                reinterpret_cast<const sockaddr*>(&at), sizeof at);
-    ++(sent < 0 ? counts_.lost : counts_.out);
+    ++(sent < 0 ? counters_.lost : counters_.out);
   }
   void close() override {
     boost::system::error_code ignored;
     if (socket_.is_open()) socket_.close(ignored);
   }
   bool closed() const override { return !socket_.is_open(); }
-  const PortCounts& counts() const override { return counts_; }
+  const PortCounters& counters() const override { return counters_; }
 
  private:
   static constexpr std::size_t kAtOnce = 32;  // a system call each; more measured no faster
   asio::ip::udp::socket socket_;
   iax2::Address address_;
-  PortCounts counts_;
+  PortCounters counters_;
   // Lists of a large fleet are longer than a signalling frame.
   std::array<std::array<std::uint8_t, 65536>, kAtOnce> buffers_;
   std::array<sockaddr_in, kAtOnce> senders_{};
@@ -169,7 +169,7 @@
 
 }  // namespace
 
-std::unique_ptr<Clock> realClock(asio::any_io_executor executor) {
+std::unique_ptr<Clock> makeRealClock(asio::any_io_executor executor) {
   return std::make_unique<RealClock>(std::move(executor));
 }
 
--- a/src/net/real.hpp
+++ b/src/net/real.hpp
@@ -11,16 +11,16 @@
 namespace thistlefold::net {
 
 /// Counts from the start of the host, so that processes of one host agree. Needs no executor for now().
-std::unique_ptr<Clock> realClock(boost::asio::any_io_executor executor);
+std::unique_ptr<Clock> makeRealClock(boost::asio::any_io_executor executor);
 
-struct PortCounts {
+struct PortCounters {
   std::uint64_t in = 0, out = 0, lost = 0;
-  int receiveBuffer = 0;  // bytes, as granted by the system
+  int receiveBufferBytes = 0;  // bytes, as granted by the system
 };
 
 class RealPort : public Port {
  public:
-  virtual const PortCounts& counts() const = 0;
+  virtual const PortCounters& counters() const = 0;
 };
 
 /// Port 0 takes a free one. Throws std::runtime_error that names the address if it can't be bound.
--- a/src/net/stream_runner.cpp
+++ b/src/net/stream_runner.cpp
@@ -34,7 +34,12 @@
 
 struct StreamRunner::State {
   State(asio::any_io_executor by, Clock& time, std::size_t bound)
-      : executor(std::move(by)), clock(&time), timer(time.timer()), acceptor(executor), room(executor), most(bound) {}
+      : executor(std::move(by)),
+        clock(&time),
+        timer(time.makeTimer()),
+        acceptor(executor),
+        room(executor),
+        most(bound) {}
 
   void guarded(const std::function<void()>& call) {
     if (over) return;
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -77,11 +77,13 @@
 
 VirtualClock::~VirtualClock() = default;
 
-std::unique_ptr<Timer> VirtualClock::timer() { return std::make_unique<VirtualTimer>(*this, context_, nullptr); }
+std::unique_ptr<Timer> VirtualClock::makeTimer() { return std::make_unique<VirtualTimer>(*this, context_, nullptr); }
 
-std::unique_ptr<Timer> VirtualHost::timer() { return std::make_unique<VirtualTimer>(clock_, clock_.context_, this); }
+std::unique_ptr<Timer> VirtualHost::makeTimer() {
+  return std::make_unique<VirtualTimer>(clock_, clock_.context_, this);
+}
 
-void VirtualHost::freeze(bool frozen) {
+void VirtualHost::setFrozen(bool frozen) {
   frozen_ = frozen;
   if (frozen) return;
   for (VirtualTimer* timer : timers_) timer->thaw();
@@ -93,7 +95,7 @@
   return key;
 }
 
-void VirtualClock::at(Instant at, std::function<void()> what) { enter(at, std::move(what)); }
+void VirtualClock::callAt(Instant at, std::function<void()> what) { enter(at, std::move(what)); }
 
 void VirtualClock::runUntil(Instant end) {
   for (;;) {
@@ -147,7 +149,7 @@
     if (!frozen_) bell_.ring();
     return true;
   }
-  void freeze(bool frozen) {
+  void setFrozen(bool frozen) {
     frozen_ = frozen;
     if (!frozen) bell_.ring();
   }
@@ -162,13 +164,13 @@
   bool closed_ = false;
 };
 
-std::unique_ptr<Port> MemoryNetwork::port(iax2::Address at, std::size_t room) {
+std::unique_ptr<Port> MemoryNetwork::openPort(iax2::Address at, std::size_t room) {
   return std::make_unique<MemoryPort>(*this, clock_.context_, at, room);
 }
 
-void MemoryNetwork::freeze(iax2::Address at, bool frozen) {
+void MemoryNetwork::setFrozen(iax2::Address at, bool frozen) {
   const auto port = ports_.find(at);
-  if (port != ports_.end()) port->second->freeze(frozen);
+  if (port != ports_.end()) port->second->setFrozen(frozen);
 }
 
 void MemoryNetwork::carry(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram) {
@@ -176,7 +178,7 @@
   if (tap_) tap_(clock_.now(), from, to, datagram, false);
   const std::vector<Span> copies = impairment_ ? impairment_(from, to, bytes) : std::vector<Span>{Span::ms(0.1)};
   for (const Span delay : copies) {
-    clock_.at(clock_.now() + delay, [this, from, to, bytes] {
+    clock_.callAt(clock_.now() + delay, [this, from, to, bytes] {
       const auto port = ports_.find(to);
       if (port == ports_.end() || !port->second->arrive(from, bytes)) return;
       if (tap_) tap_(clock_.now(), from, to, bytes, true);
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -22,9 +22,9 @@
   ~VirtualClock() override;
 
   Instant now() const override { return now_; }
-  std::unique_ptr<Timer> timer() override;
+  std::unique_ptr<Timer> makeTimer() override;
   /// Calls `what` at `at`, or now if that is past.
-  void at(Instant at, std::function<void()> what);
+  void callAt(Instant at, std::function<void()> what);
   /// Runs all that is ready and due, in order of time, until `end`.
   void runUntil(Instant end);
 
@@ -47,8 +47,8 @@
  public:
   explicit VirtualHost(VirtualClock& clock) : clock_(clock) {}
   Instant now() const override { return clock_.now(); }
-  std::unique_ptr<Timer> timer() override;
-  void freeze(bool frozen);
+  std::unique_ptr<Timer> makeTimer() override;
+  void setFrozen(bool frozen);
 
  private:
   friend class VirtualTimer;
@@ -69,9 +69,9 @@
   using Tap = std::function<void(Instant, iax2::Address, iax2::Address, std::span<const std::uint8_t>, bool delivered)>;
   void setTap(Tap tap) { tap_ = std::move(tap); }
   /// A port of this address; the network must outlive it. At most `room` datagrams wait in it.
-  std::unique_ptr<Port> port(iax2::Address at, std::size_t room = 4096);
+  std::unique_ptr<Port> openPort(iax2::Address at, std::size_t room = 4096);
   /// While held, a port's owner is frozen: datagrams wait in its queue, but nobody is woken.
-  void freeze(iax2::Address at, bool frozen);
+  void setFrozen(iax2::Address at, bool frozen);
 
  private:
   friend class MemoryPort;
--- a/tests/program/clock.cpp
+++ b/tests/program/clock.cpp
@@ -16,11 +16,11 @@
     "a process counts on from the day's time, so that starts are ordered over a restart of the host, and alarms ring "
     "by it") {
   boost::asio::io_context context;
-  const auto clock = net::realClock(context.get_executor());
+  const auto clock = net::makeRealClock(context.get_executor());
   const double day =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
   CHECK(std::abs((clock->now() - Instant()).ms() - day) < 1000);
-  const auto timer = clock->timer();
+  const auto timer = clock->makeTimer();
   const Instant set = clock->now();
   Instant firedAt = Instant::longAgo();
   timer->set(set + Span::ms(20));
--- a/tests/program/streams.cpp
+++ b/tests/program/streams.cpp
@@ -91,7 +91,7 @@
 /// One softswitch with one exchange beside its own, whose connections and bulletin are this test's.
 struct SoftswitchFixture {
   explicit SoftswitchFixture(int descriptors = 256, const std::string& limit = "9000")
-      : clock(net::realClock(context.get_executor())),
+      : clock(net::makeRealClock(context.get_executor())),
         deployment(readDeployment(text(descriptors, limit))),
         streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections)),
         office(deployment, clock->now(), streams, makeController, [](std::string_view) {}),
