--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "platform/sides.hpp"
+#include "platform/connections.hpp"
 #include "platform/softswitch.hpp"
 
 namespace thistlefold::platform {
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "platform/sides.hpp"
+#include "platform/connections.hpp"
 
 namespace thistlefold::platform {
 namespace {
