--- a/src/datagram_handler.hpp
+++ b/src/datagram_handler.hpp
@@ -9,19 +9,20 @@
 
 namespace thistlefold {
 
-/// Where a station's datagrams go, in the order they are sent.
+/// Sends the datagrams of a handler, in the order of the calls.
 using DatagramSender = std::function<void(iax2::Address to, std::span<const std::uint8_t> datagram)>;
 
-/// Whatever has an address of its own: an office, an exchange, the directory, callers. Free of I/O and clock, so
-/// the same station runs on sockets and on a virtual network. One thread at a time.
+/// A network element with an address of its own: an office, an exchange, the directory, a group of callers. Does no I/O
+/// and reads no clock of its own, so that the same handler runs on sockets and on a virtual network. Called by one
+/// thread at a time.
 class DatagramHandler {
  public:
   virtual ~DatagramHandler() = default;
-  /// A datagram that came in. Decides nothing yet: process() follows once all that waited has been taken.
+  /// Accepts a received datagram. No decision is made yet: process() follows once all waiting datagrams were received.
   virtual void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) = 0;
-  /// One round over all that was taken and all that is due.
+  /// Handles in one round all received datagrams and every deadline that has passed.
   virtual void process(Instant now, const DatagramSender& out) = 0;
-  /// When process() is wanted at the latest though nothing comes in.
+  /// The latest instant at which process() has to be called even if nothing is received.
   virtual Instant nextDeadline() const = 0;
 };
 
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// The seam for time. Everything that waits, waits through a Timer; everything that asks the time asks a Clock.
+// Interface to time, for real and for virtual clocks. All waiting is done on a Timer, and the time is read from a
+// Clock.
 
 #include <boost/asio/awaitable.hpp>
 #include <memory>
@@ -9,21 +10,24 @@
 
 namespace thistlefold::net {
 
+/// A timer with one deadline, which can be moved while it is waited for.
 class Timer {
  public:
   virtual ~Timer() = default;
-  /// Moves the alarm; whoever waits goes on waiting for the new instant. May lie in the past: rings at once.
+  /// Sets the deadline; a waiter goes on to wait for the new one. A deadline in the past fires at once.
   virtual void set(Instant at) = 0;
-  /// Resumes when the alarm has been reached. One waiter at a time.
+  /// Resumes when the timer has fired. One waiter at a time.
   virtual boost::asio::awaitable<void> asyncWait() = 0;
-  /// Wakes the waiter for good: asyncWait() returns at once from now on.
+  /// Wakes the waiter. From now on asyncWait() returns at once.
   virtual void close() = 0;
 };
 
+/// A source of time.
 class Clock {
  public:
   virtual ~Clock() = default;
   virtual Instant now() const = 0;
+  /// The timer must not outlive the clock.
   virtual std::unique_ptr<Timer> makeTimer() = 0;
 };
 
--- a/src/net/datagram_runner.cpp
+++ b/src/net/datagram_runner.cpp
@@ -8,35 +8,40 @@
 
 namespace asio = boost::asio;
 
-// Taken before each round: the more, the fewer rounds in a rush; so few, that what is due does not wait for a
-// flood to end. A round over 256 takes about a millisecond.
-constexpr std::size_t kBatch = 256;
+// Maximum number of datagrams received before a round. A large number saves rounds in a surge; a small one keeps a
+// flood from delaying deadlines. A round over 256 datagrams takes about a millisecond.
+constexpr std::size_t kMaxDatagramsPerRound = 256;
 
 }  // namespace
 
 struct DatagramRunner::State {
-  State(DatagramHandler& of, Port& at, Clock& by, std::function<void(const char*)> tell)
-      : handler(&of), port(&at), clock(&by), timer(by.makeTimer()), fault(std::move(tell)) {}
-
-  void turn() {
+  State(DatagramHandler& theHandler, Port& thePort, Clock& theClock, std::function<void(const char*)> reportError)
+      : handler(&theHandler),
+        port(&thePort),
+        clock(&theClock),
+        timer(theClock.makeTimer()),
+        onError(std::move(reportError)) {}
+
+  void runRound() {
     const Instant now = clock->now();
     handler->process(now,
                      [this](iax2::Address to, std::span<const std::uint8_t> datagram) { port->send(to, datagram); });
     timer->set(handler->nextDeadline());
   }
 
-  void end(std::exception_ptr why) {
-    if (!over && why) {
+  /// Stops both coroutines when one ends; reports its exception, if any.
+  void onCoroutineEnd(std::exception_ptr error) {
+    if (!stopped && error) {
       try {
-        std::rethrow_exception(why);
+        std::rethrow_exception(error);
       } catch (const std::exception& failure) {
-        fault(failure.what());
+        onError(failure.what());
       } catch (...) {
-        fault("unknown");
+        onError("unknown exception");
       }
       port->close();
     }
-    over = true;
+    stopped = true;
     timer->close();
   }
 
@@ -44,51 +49,53 @@
   Port* port;
   Clock* clock;
   std::unique_ptr<Timer> timer;
-  std::function<void(const char*)> fault;
-  bool over = false;
+  std::function<void(const char*)> onError;
+  bool stopped = false;
 };
 
 namespace {
 
 template <typename State>
-asio::awaitable<void> receiving(std::shared_ptr<State> at) {
-  while (!at->over && !at->port->closed()) {
-    co_await at->port->readable();
-    if (at->over || at->port->closed()) break;
-    const Instant now = at->clock->now();
-    at->port->drain(kBatch, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
-      at->handler->receive(now, from, datagram);
+asio::awaitable<void> runReceiver(std::shared_ptr<State> state) {
+  while (!state->stopped && !state->port->closed()) {
+    co_await state->port->asyncWaitReadable();
+    if (state->stopped || state->port->closed()) break;
+    const Instant now = state->clock->now();
+    state->port->drain(kMaxDatagramsPerRound, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
+      state->handler->receive(now, from, datagram);
     });
-    at->turn();
+    state->runRound();
   }
 }
 
 template <typename State>
-asio::awaitable<void> ticking(std::shared_ptr<State> at) {
-  while (!at->over) {
-    co_await at->timer->asyncWait();
-    if (at->over) break;
-    // What has come in belongs to this round too.
-    const Instant now = at->clock->now();
-    at->port->drain(kBatch, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
-      at->handler->receive(now, from, datagram);
+asio::awaitable<void> runTimer(std::shared_ptr<State> state) {
+  while (!state->stopped) {
+    co_await state->timer->asyncWait();
+    if (state->stopped) break;
+    // Datagrams that wait already belong to this round too.
+    const Instant now = state->clock->now();
+    state->port->drain(kMaxDatagramsPerRound, [&](iax2::Address from, std::span<const std::uint8_t> datagram) {
+      state->handler->receive(now, from, datagram);
     });
-    at->turn();
+    state->runRound();
   }
 }
 
 }  // namespace
 
 DatagramRunner::DatagramRunner(asio::any_io_executor executor, DatagramHandler& handler, Port& port, Clock& clock,
-                               std::function<void(const char*)> fault)
-    : state_(std::make_shared<State>(handler, port, clock, std::move(fault))) {
+                               std::function<void(const char*)> onError)
+    : state_(std::make_shared<State>(handler, port, clock, std::move(onError))) {
   state_->timer->set(clock.now());
-  asio::co_spawn(executor, receiving(state_), [at = state_](std::exception_ptr why) { at->end(why); });
-  asio::co_spawn(executor, ticking(state_), [at = state_](std::exception_ptr why) { at->end(why); });
+  asio::co_spawn(executor, runReceiver(state_),
+                 [state = state_](std::exception_ptr error) { state->onCoroutineEnd(error); });
+  asio::co_spawn(executor, runTimer(state_),
+                 [state = state_](std::exception_ptr error) { state->onCoroutineEnd(error); });
 }
 
 DatagramRunner::~DatagramRunner() {
-  state_->over = true;
+  state_->stopped = true;
   state_->timer->close();
 }
 
--- a/src/net/datagram_runner.hpp
+++ b/src/net/datagram_runner.hpp
@@ -10,21 +10,21 @@
 
 namespace thistlefold::net {
 
-/// Runs a station on a port and a clock until the port is closed: two coroutines, one for what comes in and one
-/// for what is due. The same code on sockets and on the virtual network.
+/// Runs a datagram handler on a port and a clock until the port is closed, with one coroutine for received datagrams
+/// and one for deadlines. The same code runs on sockets and on the virtual network.
 class DatagramRunner {
  public:
-  /// All must outlive the attendance. `fault` hears of an exception that ended a coroutine; the port is closed
-  /// then.
+  /// `handler`, `port` and `clock` must outlive the runner. `onError` receives the text of an exception that ended a
+  /// coroutine; the port is closed then.
   DatagramRunner(boost::asio::any_io_executor executor, DatagramHandler& handler, Port& port, Clock& clock,
-                 std::function<void(const char*)> fault);
+                 std::function<void(const char*)> onError);
   ~DatagramRunner();
-  /// After something was changed in the station from outside a turn: it gets one now.
+  /// Requests a round at once. To be called after the handler was changed from outside a round.
   void wakeUp();
 
  private:
   struct State;
-  std::shared_ptr<State> state_;  // kept by the coroutines until they have ended
+  std::shared_ptr<State> state_;  // shared with the coroutines, which keep it until they have ended
 };
 
 }  // namespace thistlefold::net
--- a/src/net/port.hpp
+++ b/src/net/port.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The seam for datagrams.
+// Interface to datagram transport, for real sockets and for the network in memory.
 
 #include <boost/asio/awaitable.hpp>
 #include <cstdint>
@@ -11,16 +11,17 @@
 
 namespace thistlefold::net {
 
+/// A datagram socket bound to an address.
 class Port {
  public:
   virtual ~Port() = default;
   virtual iax2::Address address() const = 0;
-  /// Resumes when something may be waiting, or the port was closed.
-  virtual boost::asio::awaitable<void> readable() = 0;
-  /// Hands over what is waiting, `most` datagrams at most; returns how many.
-  virtual std::size_t drain(std::size_t most,
-                            const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& take) = 0;
-  /// Never blocks: what the system has no room for is lost, as on any network, and counted.
+  /// Resumes when a datagram may be waiting or the port was closed.
+  virtual boost::asio::awaitable<void> asyncWaitReadable() = 0;
+  /// Passes waiting datagrams to `receive`, at most `maxCount` of them, and returns their number. Never blocks.
+  virtual std::size_t drain(std::size_t maxCount,
+                            const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& receive) = 0;
+  /// Never blocks: a datagram that the socket buffer does not take is lost, as on any network, and counted.
   virtual void send(iax2::Address to, std::span<const std::uint8_t> datagram) = 0;
   virtual void close() = 0;
   virtual bool closed() const = 0;
--- a/src/net/real.cpp
+++ b/src/net/real.cpp
@@ -15,22 +15,22 @@
 namespace asio = boost::asio;
 using Steady = std::chrono::steady_clock;
 
-// The steady clock begins with the host, so what an office says of its start would go back when a host is started anew,
-// and another office would take it for the earlier one. Counted from the day's time as it was when this process began,
-// it goes on, and still never jumps.
-Span ofDay() {
+// Difference between the system time and the steady clock. The steady clock starts with the host, so after a reboot an
+// office would report an earlier start than before, and other offices would take it for the previous process. With the
+// difference as it was when this process started added, the time continues over a reboot and still never jumps.
+Span systemTimeOffset() {
   using std::chrono::duration;
   return Span::ms(duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count() -
                   duration<double, std::milli>(Steady::now().time_since_epoch()).count());
 }
 
-Instant instant(Steady::time_point at) {
+Instant toInstant(Steady::time_point at) {
   return Instant::ms(std::chrono::duration<double, std::milli>(at.time_since_epoch()).count());
 }
 
-Steady::time_point timePoint(Instant at) {
-  // Thirty years: far beyond any session, and in nanoseconds still within the clock's 64 bits. Past them the wait
-  // would be over at once and its coroutine spin.
+Steady::time_point toTimePoint(Instant at) {
+  // At most 1e12 ms (some thirty years), which is far beyond any session and in nanoseconds still fits the clock's 64
+  // bits. Beyond those the wait would end at once and its coroutine would spin.
   const double ms = std::min((at - Instant()).ms(), 1e12);
   return Steady::time_point(
       std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double, std::milli>(std::max(ms, 0.0))));
@@ -38,13 +38,13 @@
 
 class RealTimer final : public Timer {
  public:
-  RealTimer(const asio::any_io_executor& executor, Span ofDay)
-      : timer_(executor, Steady::time_point::max()), ofDay_(ofDay) {}
+  RealTimer(const asio::any_io_executor& executor, Span offset)
+      : timer_(executor, Steady::time_point::max()), offset_(offset) {}
 
   void set(Instant at) override {
     if (closed_ || at == at_) return;
     at_ = at;
-    timer_.expires_at(timePoint(at - ofDay_));  // ends the wait, which then begins anew
+    timer_.expires_at(toTimePoint(at - offset_));  // ends the wait, which asyncWait() then begins again
   }
   asio::awaitable<void> asyncWait() override {
     while (!closed_) {
@@ -52,7 +52,7 @@
       co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, error));
       if (!error) {
         at_ = Instant::never();
-        timer_.expires_at(timePoint(at_));
+        timer_.expires_at(toTimePoint(at_));
         co_return;
       }
     }
@@ -64,7 +64,7 @@
 
  private:
   asio::steady_timer timer_;
-  Span ofDay_;
+  Span offset_;
   Instant at_ = Instant::never();
   bool closed_ = false;
 };
@@ -72,17 +72,17 @@
 class RealClock final : public Clock {
  public:
   explicit RealClock(asio::any_io_executor executor) : executor_(std::move(executor)) {}
-  Instant now() const override { return instant(Steady::now()) + ofDay_; }
-  std::unique_ptr<Timer> makeTimer() override { return std::make_unique<RealTimer>(executor_, ofDay_); }
+  Instant now() const override { return toInstant(Steady::now()) + offset_; }
+  std::unique_ptr<Timer> makeTimer() override { return std::make_unique<RealTimer>(executor_, offset_); }
 
  private:
-  const Span ofDay_ = ofDay();
+  const Span offset_ = systemTimeOffset();
   asio::any_io_executor executor_;
 };
 
-// Two seconds' stop of a busy office's process, at some thousand datagrams a second of about 800 bytes each as the
-// system counts them. What the system does not grant is told in counts().
-constexpr int kReceiveBuffer = 4 << 20;
+// Holds what arrives while the process of a busy office is stopped for two seconds, at some thousand datagrams a second
+// of about 800 bytes each as the system counts them. counters() reports the size that the system granted.
+constexpr int kReceiveBufferBytes = 4 << 20;
 
 sockaddr_in socketAddress(iax2::Address at) {
   sockaddr_in out{};
@@ -98,9 +98,9 @@
     const asio::ip::udp::endpoint endpoint(asio::ip::address_v4(at.ip), at.port);
     socket_.open(endpoint.protocol());
     const int fd = socket_.native_handle();
-    // More than the system's usual bound where that is allowed, the bound where it is not.
-    if (::setsockopt(fd, SOL_SOCKET, SO_RCVBUFFORCE, &kReceiveBuffer, sizeof kReceiveBuffer) != 0) {
-      ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &kReceiveBuffer, sizeof kReceiveBuffer);
+    // Exceeds the system's limit if the process may do so, otherwise gets at most that limit.
+    if (::setsockopt(fd, SOL_SOCKET, SO_RCVBUFFORCE, &kReceiveBufferBytes, sizeof kReceiveBufferBytes) != 0) {
+      ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes, sizeof kReceiveBufferBytes);
     }
     socklen_t length = sizeof counters_.receiveBufferBytes;
     ::getsockopt(fd, SOL_SOCKET, SO_RCVBUF, &counters_.receiveBufferBytes, &length);
@@ -108,45 +108,45 @@
     socket_.non_blocking(true);
     const auto local = socket_.local_endpoint();
     address_ = {local.address().to_v4().to_uint(), local.port()};
-    for (std::size_t i = 0; i < kAtOnce; ++i) {
+    for (std::size_t i = 0; i < kBatchSize; ++i) {
       parts_[i] = {buffers_[i].data(), buffers_[i].size()};
-      heads_[i].msg_hdr = {};
-      heads_[i].msg_hdr.msg_iov = &parts_[i];
-      heads_[i].msg_hdr.msg_iovlen = 1;
-      heads_[i].msg_hdr.msg_name = &senders_[i];
+      headers_[i].msg_hdr = {};
+      headers_[i].msg_hdr.msg_iov = &parts_[i];
+      headers_[i].msg_hdr.msg_iovlen = 1;
+      headers_[i].msg_hdr.msg_name = &senders_[i];
     }
   }
 
   iax2::Address address() const override { return address_; }
-  asio::awaitable<void> readable() override {
+  asio::awaitable<void> asyncWaitReadable() override {
     boost::system::error_code error;
     co_await socket_.async_wait(asio::ip::udp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
   }
-  std::size_t drain(std::size_t most,
-                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& take) override {
-    std::size_t taken = 0;
-    while (taken < most && socket_.is_open()) {
-      const auto wanted = static_cast<unsigned>(std::min(most - taken, kAtOnce));
-      for (unsigned i = 0; i < wanted; ++i) heads_[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
-      const int got = ::recvmmsg(socket_.native_handle(), heads_.data(), wanted, MSG_DONTWAIT, nullptr);
-      if (got <= 0) break;
-      for (int i = 0; i < got; ++i) {
-        const auto k = static_cast<std::size_t>(i);
-        const iax2::Address from{ntohl(senders_[k].sin_addr.s_addr), ntohs(senders_[k].sin_port)};
-        take(from, {buffers_[k].data(), heads_[k].msg_len});
+  std::size_t drain(std::size_t maxCount,
+                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& receive) override {
+    std::size_t count = 0;
+    while (count < maxCount && socket_.is_open()) {
+      const auto wanted = static_cast<unsigned>(std::min(maxCount - count, kBatchSize));
+      for (unsigned i = 0; i < wanted; ++i) headers_[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
+      const int received = ::recvmmsg(socket_.native_handle(), headers_.data(), wanted, MSG_DONTWAIT, nullptr);
+      if (received <= 0) break;
+      for (int i = 0; i < received; ++i) {
+        const auto index = static_cast<std::size_t>(i);
+        const iax2::Address from{ntohl(senders_[index].sin_addr.s_addr), ntohs(senders_[index].sin_port)};
+        receive(from, {buffers_[index].data(), headers_[index].msg_len});
       }
-      counters_.in += static_cast<std::uint64_t>(got);
-      taken += static_cast<std::size_t>(got);
-      if (static_cast<unsigned>(got) < wanted) break;
+      counters_.received += static_cast<std::uint64_t>(received);
+      count += static_cast<std::size_t>(received);
+      if (static_cast<unsigned>(received) < wanted) break;
     }
-    return taken;
+    return count;
   }
   void send(iax2::Address to, std::span<const std::uint8_t> datagram) override {
     if (!socket_.is_open()) return;
     const sockaddr_in at = socketAddress(to);
     const auto sent = ::sendto(socket_.native_handle(), datagram.data(), datagram.size(), MSG_DONTWAIT,
                                reinterpret_cast<const sockaddr*>(&at), sizeof at);
-    ++(sent < 0 ? counters_.lost : counters_.out);
+    ++(sent < 0 ? counters_.dropped : counters_.sent);
   }
   void close() override {
     boost::system::error_code ignored;
@@ -156,15 +156,15 @@
   const PortCounters& counters() const override { return counters_; }
 
  private:
-  static constexpr std::size_t kAtOnce = 32;  // a system call each; more measured no faster
+  static constexpr std::size_t kBatchSize = 32;  // datagrams per system call; a larger batch is no faster
   asio::ip::udp::socket socket_;
   iax2::Address address_;
   PortCounters counters_;
-  // Lists of a large fleet are longer than a signalling frame.
-  std::array<std::array<std::uint8_t, 65536>, kAtOnce> buffers_;
-  std::array<sockaddr_in, kAtOnce> senders_{};
-  std::array<iovec, kAtOnce> parts_{};
-  std::array<mmsghdr, kAtOnce> heads_{};
+  // Room for any datagram: the exchange lists of a large fleet are longer than a signalling frame.
+  std::array<std::array<std::uint8_t, 65536>, kBatchSize> buffers_;
+  std::array<sockaddr_in, kBatchSize> senders_{};
+  std::array<iovec, kBatchSize> parts_{};
+  std::array<mmsghdr, kBatchSize> headers_{};
 };
 
 }  // namespace
--- a/src/net/real.hpp
+++ b/src/net/real.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The seams on the real world: UDP sockets and the steady clock, by Boost.Asio.
+// Real clock and UDP sockets, by Boost.Asio.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <memory>
@@ -10,20 +10,23 @@
 
 namespace thistlefold::net {
 
-/// Counts from the start of the host, so that processes of one host agree. Needs no executor for now().
+/// A monotonic clock. Counts from the Unix epoch, by the system time at which the process started, so that the
+/// processes of a host agree and starts stay ordered over a reboot. The executor is needed for timers only.
 std::unique_ptr<Clock> makeRealClock(boost::asio::any_io_executor executor);
 
+/// Datagrams of a port since it was bound.
 struct PortCounters {
-  std::uint64_t in = 0, out = 0, lost = 0;
-  int receiveBufferBytes = 0;  // bytes, as granted by the system
+  std::uint64_t received = 0, sent = 0, dropped = 0;
+  int receiveBufferBytes = 0;  ///< size of the receive buffer as granted by the system
 };
 
+/// A UDP socket.
 class RealPort : public Port {
  public:
   virtual const PortCounters& counters() const = 0;
 };
 
-/// Port 0 takes a free one. Throws std::runtime_error that names the address if it can't be bound.
+/// Binds a UDP socket; port 0 selects a free one. Throws std::runtime_error, which names the address, on failure.
 std::unique_ptr<RealPort> bindPort(boost::asio::any_io_executor executor, iax2::Address at);
 
 }  // namespace thistlefold::net
--- a/src/net/stream_runner.cpp
+++ b/src/net/stream_runner.cpp
@@ -19,225 +19,230 @@
 using asio::ip::tcp;
 using Error = boost::system::error_code;
 
-// One read, and how many of one connection before others get theirs: a few whole messages. A caller's set-up is decided
-// on only once what lies behind it was read too, be it a release or the end of the stream.
-constexpr std::size_t kReadAtOnce = 16 * 1024;
-constexpr int kReadsInARow = 8;
-// How long what was sent last may take to go out and be taken once a stream is ended, and what is read and thrown
-// away meanwhile, so that the system does not answer it with a reset that overtakes the last words.
+// Size of one read, and the number of reads in a row from one connection before others are served: a few whole
+// messages. A set-up must not be decided on before the data behind it was read, which may be its release or the end of
+// the stream.
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr int kMaxConsecutiveReads = 8;
+// Linger time for the delivery of the last data after close(). Data received meanwhile is read and discarded up to a
+// limit; if it stayed unread, the system would send a reset, which could overtake the last data.
 constexpr auto kLinger = std::chrono::milliseconds(500);
-constexpr std::size_t kThrowAway = 256 * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
 
 tcp::endpoint endpoint(iax2::Address at) { return {asio::ip::address_v4(at.ip), at.port}; }
 
 }  // namespace
 
 struct StreamRunner::State {
-  State(asio::any_io_executor by, Clock& time, std::size_t bound)
-      : executor(std::move(by)),
-        clock(&time),
-        timer(time.makeTimer()),
+  State(asio::any_io_executor ioExecutor, Clock& sourceClock, std::size_t limit)
+      : executor(std::move(ioExecutor)),
+        clock(&sourceClock),
+        timer(sourceClock.makeTimer()),
         acceptor(executor),
-        room(executor),
-        most(bound) {}
+        slotFreed(executor),
+        maxConnections(limit) {}
 
-  void guarded(const std::function<void()>& call) {
-    if (over) return;
+  /// Calls into the handler. An exception stops the runner and is reported to `onError`.
+  void callGuarded(const std::function<void()>& call) {
+    if (stopped) return;
     try {
       call();
-    } catch (const std::exception& failure) {
-      over = true;
-      fault(failure.what());
+    } catch (const std::exception& error) {
+      stopped = true;
+      onError(error.what());
     }
   }
-  void turn() {
-    guarded([this] {
+  void runRound() {
+    callGuarded([this] {
       handler->process(clock->now());
       timer->set(handler->nextDeadline());
     });
   }
-  /// One turn after all that is ready to be read by now, so that no decision is made on half of what came.
-  static void turnSoon(const std::shared_ptr<State>& self) {
-    if (self->turnDue) return;
-    self->turnDue = true;
+  /// Schedules one round after everything that is ready by now was read, so that no decision is based on a part of it.
+  static void scheduleRound(const std::shared_ptr<State>& self) {
+    if (self->roundScheduled) return;
+    self->roundScheduled = true;
     asio::post(self->executor, [self] {
-      self->turnDue = false;
-      self->turn();
+      self->roundScheduled = false;
+      self->runRound();
     });
   }
-  /// Cuts the connection that has been closing for longest. False: none is closing.
-  bool makeRoom();
-  bool full() const { return streams.size() >= most; }
+  /// Aborts the connection that has been closing for longest. Returns false if none is closing.
+  bool evictClosing();
+  bool isFull() const { return streams.size() >= maxConnections; }
 
   asio::any_io_executor executor;
   Clock* clock;
   std::unique_ptr<Timer> timer;
   tcp::acceptor acceptor;
-  asio::steady_timer room;  // rung when a connection was closed
-  std::size_t most;
+  asio::steady_timer slotFreed;  // cancelled, which wakes the acceptor, when a connection was closed
+  std::size_t maxConnections;
   StreamHandler* handler = nullptr;
-  std::function<void(const char*)> fault;
+  std::function<void(const char*)> onError;
   std::set<std::shared_ptr<TcpStream>> streams;
-  std::deque<std::weak_ptr<TcpStream>> closing;  // ended, in that order
-  std::array<char, kReadAtOnce> buffer{};
-  bool turnDue = false;
-  bool over = false;
+  std::deque<std::weak_ptr<TcpStream>> closing;  // lingering after close(), oldest first
+  std::array<char, kReadBytes> buffer{};
+  bool roundScheduled = false;
+  bool stopped = false;
 };
 
 class TcpStream final : public Stream, public std::enable_shared_from_this<TcpStream> {
  public:
-  TcpStream(std::shared_ptr<StreamRunner::State> of, tcp::socket socket)
-      : of_(std::move(of)), socket_(std::move(socket)) {}
+  TcpStream(std::shared_ptr<StreamRunner::State> runner, tcp::socket socket)
+      : runner_(std::move(runner)), socket_(std::move(socket)) {}
 
   void send(std::string_view bytes) override {
-    if (ended_ || !socket_.is_open()) return;
-    if (!stands_ || !waiting_.empty()) {
-      waiting_.append(bytes);
+    if (closed_ || !socket_.is_open()) return;
+    if (!connected_ || !outgoing_.empty()) {
+      outgoing_.append(bytes);
       return;
     }
     Error error;
     const std::size_t sent = socket_.write_some(asio::buffer(bytes), error);
-    // A broken connection is told of by the reading side.
+    // A broken connection is detected and reported by the reader.
     if (error && error != asio::error::would_block) return;
     if (sent == bytes.size()) return;
-    waiting_.append(bytes.substr(sent));
-    asio::co_spawn(of_->executor, writing(shared_from_this()), asio::detached);
+    outgoing_.append(bytes.substr(sent));
+    asio::co_spawn(runner_->executor, runWriter(shared_from_this()), asio::detached);
   }
-  std::size_t unsent() const override { return waiting_.size(); }
-  bool unread() const override {
+  std::size_t unsentBytes() const override { return outgoing_.size(); }
+  bool hasUnreadData() const override {
     Error error;
     return socket_.is_open() && socket_.available(error) > 0 && !error;
   }
-  bool open() const { return socket_.is_open(); }
-  void end() override {
-    if (ended_) return;
-    ended_ = true;
-    if (!stands_ || !socket_.is_open()) return close();
-    // Who has gone is forgotten, or each connection ever ended would keep its memory.
-    while (!of_->closing.empty() && of_->closing.front().expired()) of_->closing.pop_front();
-    of_->closing.push_back(weak_from_this());
-    asio::co_spawn(of_->executor, lingering(shared_from_this()), asio::detached);
+  bool isOpen() const { return socket_.is_open(); }
+  void close() override {
+    if (closed_) return;
+    closed_ = true;
+    if (!connected_ || !socket_.is_open()) return closeSocket();
+    // Entries of connections that are gone are removed, as each would keep its memory otherwise.
+    while (!runner_->closing.empty() && runner_->closing.front().expired()) runner_->closing.pop_front();
+    runner_->closing.push_back(weak_from_this());
+    asio::co_spawn(runner_->executor, runLinger(shared_from_this()), asio::detached);
   }
-  void cut() override {
-    ended_ = true;
-    close();
+  void abort() override {
+    closed_ = true;
+    closeSocket();
   }
 
-  static asio::awaitable<void> dialling(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> of,
-                                        tcp::endpoint to) {
+  static asio::awaitable<void> runConnect(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> runner,
+                                          tcp::endpoint to) {
     Error error;
     co_await self->socket_.async_connect(to, asio::redirect_error(asio::use_awaitable, error));
-    if (self->ended_ || of->over) co_return;
+    if (self->closed_ || runner->stopped) co_return;
     if (error) {
-      self->tellDown(error);
+      self->reportClosed(error);
       co_return;
     }
     self->start();
-    of->guarded([&] { of->handler->up(of->clock->now(), *self); });
-    StreamRunner::State::turnSoon(of);
-    if (!self->waiting_.empty() && !self->ended_) {
-      asio::co_spawn(of->executor, writing(self), asio::detached);
+    runner->callGuarded([&] { runner->handler->onConnected(runner->clock->now(), *self); });
+    StreamRunner::State::scheduleRound(runner);
+    if (!self->outgoing_.empty() && !self->closed_) {
+      asio::co_spawn(runner->executor, runWriter(self), asio::detached);
     }
-    co_await reading(self, of);
+    co_await runReader(self, runner);
   }
 
-  static asio::awaitable<void> reading(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> of) {
-    while (!self->ended_ && !of->over) {
+  static asio::awaitable<void> runReader(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> runner) {
+    while (!self->closed_ && !runner->stopped) {
       Error error;
       co_await self->socket_.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-      if (self->ended_ || of->over) co_return;
-      for (int reads = 0; reads < kReadsInARow && !error && !self->ended_ && !of->over; ++reads) {
-        const std::size_t got = self->socket_.read_some(asio::buffer(of->buffer), error);
-        if (!error) of->guarded([&] { of->handler->read(of->clock->now(), *self, {of->buffer.data(), got}); });
+      if (self->closed_ || runner->stopped) co_return;
+      for (int reads = 0; reads < kMaxConsecutiveReads && !error && !self->closed_ && !runner->stopped; ++reads) {
+        const std::size_t received = self->socket_.read_some(asio::buffer(runner->buffer), error);
+        if (!error)
+          runner->callGuarded([&] {
+            runner->handler->onData(runner->clock->now(), *self, {runner->buffer.data(), received});
+          });
       }
-      if (self->ended_ || of->over) break;
+      if (self->closed_ || runner->stopped) break;
       if (error && error != asio::error::would_block) {
-        self->tellDown(error);
+        self->reportClosed(error);
         break;
       }
-      StreamRunner::State::turnSoon(of);
+      StreamRunner::State::scheduleRound(runner);
     }
-    if (!of->over) StreamRunner::State::turnSoon(of);
+    if (!runner->stopped) StreamRunner::State::scheduleRound(runner);
   }
 
   void start() {
-    stands_ = true;
+    connected_ = true;
     Error ignored;
     socket_.non_blocking(true, ignored);
     socket_.set_option(tcp::no_delay(true), ignored);
   }
 
  private:
-  static asio::awaitable<void> writing(std::shared_ptr<TcpStream> self) {
-    while (!self->waiting_.empty() && self->socket_.is_open()) {
+  static asio::awaitable<void> runWriter(std::shared_ptr<TcpStream> self) {
+    while (!self->outgoing_.empty() && self->socket_.is_open()) {
       Error error;
       co_await self->socket_.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
       if (error || !self->socket_.is_open()) co_return;
-      const std::size_t sent = self->socket_.write_some(asio::buffer(self->waiting_), error);
+      const std::size_t sent = self->socket_.write_some(asio::buffer(self->outgoing_), error);
       if (error && error != asio::error::would_block) co_return;
-      self->waiting_.erase(0, sent);
+      self->outgoing_.erase(0, sent);
     }
   }
 
-  static asio::awaitable<void> lingering(std::shared_ptr<TcpStream> self) {
-    asio::steady_timer timer(self->of_->executor, kLinger);
+  static asio::awaitable<void> runLinger(std::shared_ptr<TcpStream> self) {
+    asio::steady_timer timer(self->runner_->executor, kLinger);
     timer.async_wait([self](const Error& error) {
-      if (!error) self->close();
+      if (!error) self->closeSocket();
     });
     Error error;
-    while (!self->waiting_.empty() && self->socket_.is_open()) {
+    while (!self->outgoing_.empty() && self->socket_.is_open()) {
       co_await self->socket_.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
       if (error || !self->socket_.is_open()) break;
-      const std::size_t sent = self->socket_.write_some(asio::buffer(self->waiting_), error);
+      const std::size_t sent = self->socket_.write_some(asio::buffer(self->outgoing_), error);
       if (error && error != asio::error::would_block) break;
-      self->waiting_.erase(0, sent);
+      self->outgoing_.erase(0, sent);
     }
     self->socket_.shutdown(tcp::socket::shutdown_send, error);
-    std::size_t thrown = 0;
-    while (self->socket_.is_open() && thrown < kThrowAway) {
+    std::size_t discarded = 0;
+    while (self->socket_.is_open() && discarded < kMaxDiscardedBytes) {
       co_await self->socket_.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
       if (error || !self->socket_.is_open()) break;
-      const std::size_t got = self->socket_.read_some(asio::buffer(self->of_->buffer), error);
+      const std::size_t received = self->socket_.read_some(asio::buffer(self->runner_->buffer), error);
       if (error && error != asio::error::would_block) break;
-      thrown += got;
+      discarded += received;
     }
     timer.cancel();
-    self->close();
+    self->closeSocket();
   }
 
-  void tellDown(const Error& error) {
-    if (ended_) return;
-    ended_ = true;
-    const StreamEnd how = !stands_                    ? StreamEnd::refused
-                          : error == asio::error::eof ? StreamEnd::closed
-                                                      : StreamEnd::reset;
+  void reportClosed(const Error& error) {
+    if (closed_) return;
+    closed_ = true;
+    const CloseReason reason = !connected_                 ? CloseReason::refused
+                               : error == asio::error::eof ? CloseReason::closed
+                                                           : CloseReason::reset;
     const auto keep = shared_from_this();
-    of_->guarded([&] { of_->handler->down(of_->clock->now(), *this, how); });
-    close();
-    StreamRunner::State::turnSoon(of_);
+    runner_->callGuarded([&] { runner_->handler->onClosed(runner_->clock->now(), *this, reason); });
+    closeSocket();
+    StreamRunner::State::scheduleRound(runner_);
   }
 
-  void close() {
+  void closeSocket() {
     Error ignored;
     if (socket_.is_open()) socket_.close(ignored);
     const auto keep = shared_from_this();
-    of_->streams.erase(keep);
-    of_->room.cancel();
+    runner_->streams.erase(keep);
+    runner_->slotFreed.cancel();
   }
 
-  std::shared_ptr<StreamRunner::State> of_;
+  std::shared_ptr<StreamRunner::State> runner_;
   tcp::socket socket_;
-  std::string waiting_;
-  bool stands_ = false;
-  bool ended_ = false;
+  std::string outgoing_;
+  bool connected_ = false;
+  bool closed_ = false;
 };
 
-bool StreamRunner::State::makeRoom() {
+bool StreamRunner::State::evictClosing() {
   while (!closing.empty()) {
     const auto oldest = closing.front().lock();
     closing.pop_front();
-    if (oldest == nullptr || !oldest->open()) continue;
-    oldest->cut();
+    if (oldest == nullptr || !oldest->isOpen()) continue;
+    oldest->abort();
     return true;
   }
   return false;
@@ -246,54 +251,54 @@
 namespace {
 
 template <typename State>
-asio::awaitable<void> accepting(std::shared_ptr<State> at) {
-  while (!at->over && at->acceptor.is_open()) {
+asio::awaitable<void> runAcceptor(std::shared_ptr<State> state) {
+  while (!state->stopped && state->acceptor.is_open()) {
     Error error;
-    // The last one is for the party's own dialling. Who is only being closed makes room for who comes.
-    if (at->streams.size() + 1 >= at->most && !at->makeRoom()) {
-      at->room.expires_after(std::chrono::milliseconds(50));
-      co_await at->room.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    // The last slot is reserved for the handler's own connections. A closing connection makes room for a new one.
+    if (state->streams.size() + 1 >= state->maxConnections && !state->evictClosing()) {
+      state->slotFreed.expires_after(std::chrono::milliseconds(50));
+      co_await state->slotFreed.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
-    tcp::socket socket = co_await at->acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
-    if (at->over || !at->acceptor.is_open()) break;
+    tcp::socket socket = co_await state->acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
+    if (state->stopped || !state->acceptor.is_open()) break;
     if (error) {
-      // No descriptor left, or the caller is gone again: nothing to do but wait.
-      at->makeRoom();
-      at->room.expires_after(std::chrono::milliseconds(10));
-      co_await at->room.async_wait(asio::redirect_error(asio::use_awaitable, error));
+      // No file descriptor is left, or the caller has closed already: wait and retry.
+      state->evictClosing();
+      state->slotFreed.expires_after(std::chrono::milliseconds(10));
+      co_await state->slotFreed.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
-    const auto stream = std::make_shared<TcpStream>(at, std::move(socket));
-    at->streams.insert(stream);
+    const auto stream = std::make_shared<TcpStream>(state, std::move(socket));
+    state->streams.insert(stream);
     stream->start();
-    at->guarded([&] { at->handler->came(at->clock->now(), *stream); });
-    asio::co_spawn(at->executor, TcpStream::reading(stream, at), asio::detached);
+    state->callGuarded([&] { state->handler->onAccepted(state->clock->now(), *stream); });
+    asio::co_spawn(state->executor, TcpStream::runReader(stream, state), asio::detached);
   }
 }
 
 template <typename State>
-asio::awaitable<void> ticking(std::shared_ptr<State> at) {
-  while (!at->over) {
-    co_await at->timer->asyncWait();
-    if (at->over) break;
-    State::turnSoon(at);
+asio::awaitable<void> runTimer(std::shared_ptr<State> state) {
+  while (!state->stopped) {
+    co_await state->timer->asyncWait();
+    if (state->stopped) break;
+    State::scheduleRound(state);
   }
 }
 
 }  // namespace
 
-StreamRunner::StreamRunner(asio::any_io_executor executor, Clock& clock, std::size_t most)
-    : state_(std::make_shared<State>(std::move(executor), clock, most)) {}
+StreamRunner::StreamRunner(asio::any_io_executor executor, Clock& clock, std::size_t maxConnections)
+    : state_(std::make_shared<State>(std::move(executor), clock, maxConnections)) {}
 
 StreamRunner::~StreamRunner() {
-  state_->over = true;
+  state_->stopped = true;
   state_->timer->close();
   Error ignored;
   state_->acceptor.close(ignored);
   const auto streams = std::move(state_->streams);
   state_->streams.clear();
-  for (const auto& stream : streams) stream->cut();
+  for (const auto& stream : streams) stream->abort();
 }
 
 iax2::Address StreamRunner::listen(iax2::Address at) {
@@ -310,35 +315,35 @@
   }
 }
 
-void StreamRunner::attend(StreamHandler& handler, std::function<void(const char*)> fault) {
+void StreamRunner::serve(StreamHandler& handler, std::function<void(const char*)> onError) {
   state_->handler = &handler;
-  state_->fault = std::move(fault);
+  state_->onError = std::move(onError);
   state_->timer->set(state_->clock->now());
-  asio::co_spawn(state_->executor, ticking(state_), asio::detached);
-  if (state_->acceptor.is_open()) asio::co_spawn(state_->executor, accepting(state_), asio::detached);
+  asio::co_spawn(state_->executor, runTimer(state_), asio::detached);
+  if (state_->acceptor.is_open()) asio::co_spawn(state_->executor, runAcceptor(state_), asio::detached);
 }
 
-void StreamRunner::wakeUp() { State::turnSoon(state_); }
+void StreamRunner::wakeUp() { State::scheduleRound(state_); }
 
-void StreamRunner::deafen() {
+void StreamRunner::stopAccepting() {
   Error ignored;
   state_->acceptor.close(ignored);
 }
 
-Stream* StreamRunner::dial(iax2::Address to) {
-  if (state_->over || (state_->full() && !state_->makeRoom())) return nullptr;
+Stream* StreamRunner::connect(iax2::Address to) {
+  if (state_->stopped || (state_->isFull() && !state_->evictClosing())) return nullptr;
   tcp::socket socket(state_->executor);
   Error error;
   socket.open(tcp::v4(), error);
   if (error) return nullptr;
   const auto stream = std::make_shared<TcpStream>(state_, std::move(socket));
   state_->streams.insert(stream);
-  asio::co_spawn(state_->executor, TcpStream::dialling(stream, state_, endpoint(to)), asio::detached);
+  asio::co_spawn(state_->executor, TcpStream::runConnect(stream, state_, endpoint(to)), asio::detached);
   return stream.get();
 }
 
-std::size_t StreamRunner::held() const { return state_->streams.size(); }
+std::size_t StreamRunner::connectionCount() const { return state_->streams.size(); }
 
-std::size_t StreamRunner::closing() const { return state_->closing.size(); }
+std::size_t StreamRunner::closingCount() const { return state_->closing.size(); }
 
 }  // namespace thistlefold::net
--- a/src/net/stream_runner.hpp
+++ b/src/net/stream_runner.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The seam for streams, on TCP by Boost.Asio coroutines: one party with its listener and the connections it dials.
+// TCP streams by Boost.Asio coroutines: one handler with its listening socket and the connections it opens.
 
 #include <boost/asio/any_io_executor.hpp>
 #include <functional>
@@ -13,31 +13,36 @@
 
 class TcpStream;
 
-class StreamRunner final : public Dialler {
+/// Runs a stream handler. Accepts and opens connections within a limit.
+class StreamRunner final : public StreamConnector {
  public:
-  /// `clock` must outlive it. `most`: connections held at once. At the bound those that are only being closed go first;
-  /// then those that come wait in the system's queue, one earlier than the party's own dialling, which gets none.
-  StreamRunner(boost::asio::any_io_executor executor, Clock& clock, std::size_t most);
+  /// `clock` must outlive the runner. `maxConnections` is the number of connections held at once. At the limit, closing
+  /// connections are aborted first, the oldest before others. If none is closing, new callers wait in the listen
+  /// backlog, already from one connection below the limit, and connect() returns nullptr.
+  StreamRunner(boost::asio::any_io_executor executor, Clock& clock, std::size_t maxConnections);
   ~StreamRunner() override;
 
-  /// Port 0 takes a free one. Throws std::runtime_error that names the address if it can't be bound.
+  /// Binds the listening socket; port 0 selects a free one. Returns the bound address. Throws std::runtime_error, which
+  /// names the address, on failure.
   iax2::Address listen(iax2::Address at);
-  /// From now on the party is told. `fault` hears of an exception that came out of it.
-  void attend(StreamHandler& handler, std::function<void(const char*)> fault);
-  /// After something was changed in the party from outside a turn: it gets one now.
+  /// Starts to accept connections and to call the handler, which must stay valid while the executor runs. If a callback
+  /// throws, `onError` receives the text of the exception and no further callback follows.
+  void serve(StreamHandler& handler, std::function<void(const char*)> onError);
+  /// Requests a round at once. To be called after the handler was changed from outside a round.
   void wakeUp();
-  /// Nobody is accepted any more.
-  void deafen();
+  /// Closes the listening socket. Existing connections stay.
+  void stopAccepting();
 
-  Stream* dial(iax2::Address to) override;
-  std::size_t held() const;
-  /// Ended and remembered until they have gone, to make room.
-  std::size_t closing() const;
+  Stream* connect(iax2::Address to) override;
+  /// Number of connections, including those that are closing.
+  std::size_t connectionCount() const;
+  /// Number of closing connections that are remembered as candidates for eviction.
+  std::size_t closingCount() const;
 
  private:
   friend class TcpStream;
   struct State;
-  std::shared_ptr<State> state_;  // kept by the coroutines until they have ended
+  std::shared_ptr<State> state_;  // shared with the coroutines, which keep it until they have ended
 };
 
 }  // namespace thistlefold::net
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -10,16 +10,16 @@
 
 namespace asio = boost::asio;
 
-/// Something a coroutine waits for that is not of the real world. The timer in it never expires; it is the
-/// cheapest thing of Asio that can be woken from the same thread.
-class Bell {
+/// Wakes a coroutine without real time passing. The timer in it never expires; waiting is ended by cancelling it, which
+/// is the lowest-cost means of Asio to wake a coroutine from the same thread.
+class Notifier {
  public:
-  explicit Bell(asio::io_context& context) : timer_(context, asio::steady_timer::time_point::max()) {}
+  explicit Notifier(asio::io_context& context) : timer_(context, asio::steady_timer::time_point::max()) {}
   asio::awaitable<void> wait() {
     boost::system::error_code ignored;
     co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
-  void ring() { timer_.cancel(); }
+  void notify() { timer_.cancel(); }
 
  private:
   asio::steady_timer timer_;
@@ -30,48 +30,48 @@
 class VirtualTimer final : public Timer {
  public:
   VirtualTimer(VirtualClock& clock, asio::io_context& context, VirtualHost* host)
-      : clock_(clock), bell_(context), host_(host) {
+      : clock_(clock), notifier_(context), host_(host) {
     if (host_ != nullptr) host_->timers_.push_back(this);
   }
   ~VirtualTimer() override {
-    clear();
+    cancel();
     if (host_ != nullptr) std::erase(host_->timers_, this);
   }
 
   void set(Instant at) override {
-    if (closed_ || (entered_ && at == key_.first)) return;
-    clear();
+    if (closed_ || (scheduled_ && at == key_.first)) return;
+    cancel();
     if (at == Instant::never()) return;
-    key_ = clock_.enter(at, [this] {
-      entered_ = false;
-      rang_ = true;
-      if (!frozen()) bell_.ring();
+    key_ = clock_.schedule(at, [this] {
+      scheduled_ = false;
+      fired_ = true;
+      if (!isFrozen()) notifier_.notify();
     });
-    entered_ = true;
+    scheduled_ = true;
   }
   asio::awaitable<void> asyncWait() override {
-    while (!closed_ && (!rang_ || frozen())) co_await bell_.wait();
-    rang_ = false;
+    while (!closed_ && (!fired_ || isFrozen())) co_await notifier_.wait();
+    fired_ = false;
   }
   void close() override {
     closed_ = true;
-    clear();
-    bell_.ring();
+    cancel();
+    notifier_.notify();
   }
-  void thaw() { bell_.ring(); }
+  void resume() { notifier_.notify(); }
 
  private:
-  bool frozen() const { return host_ != nullptr && host_->frozen_; }
-  void clear() {
-    if (entered_) clock_.due_.erase(key_);
-    entered_ = false;
+  bool isFrozen() const { return host_ != nullptr && host_->frozen_; }
+  void cancel() {
+    if (scheduled_) clock_.events_.erase(key_);
+    scheduled_ = false;
   }
   VirtualClock& clock_;
-  Bell bell_;
+  Notifier notifier_;
   VirtualHost* host_;
   VirtualClock::Key key_;
-  bool entered_ = false;
-  bool rang_ = false;
+  bool scheduled_ = false;
+  bool fired_ = false;
   bool closed_ = false;
 };
 
@@ -86,86 +86,86 @@
 void VirtualHost::setFrozen(bool frozen) {
   frozen_ = frozen;
   if (frozen) return;
-  for (VirtualTimer* timer : timers_) timer->thaw();
+  for (VirtualTimer* timer : timers_) timer->resume();
 }
 
-VirtualClock::Key VirtualClock::enter(Instant at, std::function<void()> what) {
-  const Key key{std::max(at, now_), order_++};
-  due_[key] = std::move(what);
+VirtualClock::Key VirtualClock::schedule(Instant at, std::function<void()> callback) {
+  const Key key{std::max(at, now_), nextSequence_++};
+  events_[key] = std::move(callback);
   return key;
 }
 
-void VirtualClock::callAt(Instant at, std::function<void()> what) { enter(at, std::move(what)); }
+void VirtualClock::callAt(Instant at, std::function<void()> callback) { schedule(at, std::move(callback)); }
 
 void VirtualClock::runUntil(Instant end) {
   for (;;) {
     context_.restart();
     context_.poll();
-    if (due_.empty() || due_.begin()->first.first > end) break;
-    now_ = std::max(now_, due_.begin()->first.first);
-    const auto what = std::move(due_.begin()->second);
-    due_.erase(due_.begin());
-    what();
+    if (events_.empty() || events_.begin()->first.first > end) break;
+    now_ = std::max(now_, events_.begin()->first.first);
+    const auto callback = std::move(events_.begin()->second);
+    events_.erase(events_.begin());
+    callback();
   }
   now_ = std::max(now_, end);
 }
 
 class MemoryPort final : public Port {
  public:
-  MemoryPort(MemoryNetwork& network, asio::io_context& context, iax2::Address at, std::size_t room)
-      : network_(network), bell_(context), address_(at), room_(room) {
+  MemoryPort(MemoryNetwork& network, asio::io_context& context, iax2::Address at, std::size_t capacity)
+      : network_(network), notifier_(context), address_(at), capacity_(capacity) {
     network_.ports_[at] = this;
   }
   ~MemoryPort() override { close(); }
 
   iax2::Address address() const override { return address_; }
-  asio::awaitable<void> readable() override {
-    while (!closed_ && (queue_.empty() || frozen_)) co_await bell_.wait();
+  asio::awaitable<void> asyncWaitReadable() override {
+    while (!closed_ && (queue_.empty() || frozen_)) co_await notifier_.wait();
   }
-  std::size_t drain(std::size_t most,
-                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& take) override {
-    std::size_t taken = 0;
-    for (; taken < most && !queue_.empty() && !frozen_; ++taken) {
+  std::size_t drain(std::size_t maxCount,
+                    const std::function<void(iax2::Address, std::span<const std::uint8_t>)>& receive) override {
+    std::size_t count = 0;
+    for (; count < maxCount && !queue_.empty() && !frozen_; ++count) {
       const auto [from, bytes] = std::move(queue_.front());
       queue_.pop_front();
-      take(from, bytes);
+      receive(from, bytes);
     }
-    return taken;
+    return count;
   }
   void send(iax2::Address to, std::span<const std::uint8_t> datagram) override {
-    if (!closed_) network_.carry(address_, to, datagram);
+    if (!closed_) network_.transmit(address_, to, datagram);
   }
   void close() override {
     if (closed_) return;
     closed_ = true;
     network_.ports_.erase(address_);
-    bell_.ring();
+    notifier_.notify();
   }
   bool closed() const override { return closed_; }
 
-  bool arrive(iax2::Address from, std::vector<std::uint8_t> bytes) {
-    if (queue_.size() >= room_) return false;
+  bool enqueue(iax2::Address from, std::vector<std::uint8_t> bytes) {
+    if (queue_.size() >= capacity_) return false;
     queue_.emplace_back(from, std::move(bytes));
-    if (!frozen_) bell_.ring();
+    if (!frozen_) notifier_.notify();
     return true;
   }
   void setFrozen(bool frozen) {
     frozen_ = frozen;
-    if (!frozen) bell_.ring();
+    if (!frozen) notifier_.notify();
   }
 
  private:
   MemoryNetwork& network_;
-  Bell bell_;
+  Notifier notifier_;
   iax2::Address address_;
-  std::size_t room_;
+  std::size_t capacity_;
   std::deque<std::pair<iax2::Address, std::vector<std::uint8_t>>> queue_;
   bool frozen_ = false;
   bool closed_ = false;
 };
 
-std::unique_ptr<Port> MemoryNetwork::openPort(iax2::Address at, std::size_t room) {
-  return std::make_unique<MemoryPort>(*this, clock_.context_, at, room);
+std::unique_ptr<Port> MemoryNetwork::openPort(iax2::Address at, std::size_t capacity) {
+  return std::make_unique<MemoryPort>(*this, clock_.context_, at, capacity);
 }
 
 void MemoryNetwork::setFrozen(iax2::Address at, bool frozen) {
@@ -173,14 +173,14 @@
   if (port != ports_.end()) port->second->setFrozen(frozen);
 }
 
-void MemoryNetwork::carry(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram) {
+void MemoryNetwork::transmit(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram) {
   std::vector<std::uint8_t> bytes(datagram.begin(), datagram.end());
   if (tap_) tap_(clock_.now(), from, to, datagram, false);
   const std::vector<Span> copies = impairment_ ? impairment_(from, to, bytes) : std::vector<Span>{Span::ms(0.1)};
   for (const Span delay : copies) {
     clock_.callAt(clock_.now() + delay, [this, from, to, bytes] {
       const auto port = ports_.find(to);
-      if (port == ports_.end() || !port->second->arrive(from, bytes)) return;
+      if (port == ports_.end() || !port->second->enqueue(from, bytes)) return;
       if (tap_) tap_(clock_.now(), from, to, bytes, true);
     });
   }
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The seams on a clock that only advances when nothing is left to do, and on a network in memory. One thread.
+// Virtual clock, which only advances when nothing is left to do, and network in memory. Single-threaded.
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -15,7 +15,8 @@
 
 namespace thistlefold::net {
 
-/// Virtual time over an io_context. Alarms ring in order of instant, then of the order in which they were set.
+/// Virtual time over an io_context, which must outlive the clock. Timers fire in the order of their deadlines; those
+/// with equal deadlines, in the order in which they were set.
 class VirtualClock final : public Clock {
  public:
   explicit VirtualClock(boost::asio::io_context& context) : context_(context) {}
@@ -23,26 +24,26 @@
 
   Instant now() const override { return now_; }
   std::unique_ptr<Timer> makeTimer() override;
-  /// Calls `what` at `at`, or now if that is past.
-  void callAt(Instant at, std::function<void()> what);
-  /// Runs all that is ready and due, in order of time, until `end`.
+  /// Calls `callback` at `at`, or at the current time if that is past.
+  void callAt(Instant at, std::function<void()> callback);
+  /// Runs everything that is ready or due until `end`, in order of time. The time is `end` afterwards.
   void runUntil(Instant end);
 
  private:
   friend class VirtualTimer;
   friend class MemoryNetwork;
   friend class VirtualHost;
-  using Key = std::pair<Instant, std::uint64_t>;
-  Key enter(Instant at, std::function<void()> what);
+  using Key = std::pair<Instant, std::uint64_t>;  // deadline and sequence number
+  Key schedule(Instant at, std::function<void()> callback);
 
   boost::asio::io_context& context_;
   Instant now_ = Instant::ms(1000);
-  std::uint64_t order_ = 0;
-  std::map<Key, std::function<void()>> due_;
+  std::uint64_t nextSequence_ = 0;
+  std::map<Key, std::function<void()>> events_;
 };
 
-/// The clock as one host sees it: while the host is frozen its alarms ring for nobody, and all of them that fell
-/// due ring when it is thawed, as after SIGSTOP and SIGCONT.
+/// The clock of one host, which can be frozen. Timers of a frozen host do not fire; those whose deadline has passed
+/// fire when the host is thawed, as after SIGSTOP and SIGCONT.
 class VirtualHost final : public Clock {
  public:
   explicit VirtualHost(VirtualClock& clock) : clock_(clock) {}
@@ -57,25 +58,29 @@
   bool frozen_ = false;
 };
 
-/// What becomes of one datagram: a delay for each copy that is delivered, none if it is lost. May change the bytes.
+/// Network impairment: decides whether and when a datagram is delivered. Returns the delay of each copy to be
+/// delivered, none if the datagram is lost. May modify the bytes.
 using Impairment =
     std::function<std::vector<Span>(iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes)>;
 
+/// A datagram network in memory. Without an impairment each datagram arrives after 0.1 ms.
 class MemoryNetwork {
  public:
+  /// `clock` must outlive the network.
   explicit MemoryNetwork(VirtualClock& clock) : clock_(clock) {}
   void setImpairment(Impairment impairment) { impairment_ = std::move(impairment); }
-  /// Sees each datagram when it is sent and (`delivered`) when a port takes it into its queue.
+  /// Observes each datagram when it is sent and (`delivered`) when it enters the queue of its port.
   using Tap = std::function<void(Instant, iax2::Address, iax2::Address, std::span<const std::uint8_t>, bool delivered)>;
   void setTap(Tap tap) { tap_ = std::move(tap); }
-  /// A port of this address; the network must outlive it. At most `room` datagrams wait in it.
-  std::unique_ptr<Port> openPort(iax2::Address at, std::size_t room = 4096);
-  /// While held, a port's owner is frozen: datagrams wait in its queue, but nobody is woken.
+  /// Opens a port with this address. The network must outlive it. A datagram that arrives while `capacity` datagrams
+  /// wait is dropped.
+  std::unique_ptr<Port> openPort(iax2::Address at, std::size_t capacity = 4096);
+  /// Freezes or thaws the owner of a port. While it is frozen, datagrams wait in the queue and the owner is not woken.
   void setFrozen(iax2::Address at, bool frozen);
 
  private:
   friend class MemoryPort;
-  void carry(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram);
+  void transmit(iax2::Address from, iax2::Address to, std::span<const std::uint8_t> datagram);
 
   VirtualClock& clock_;
   Impairment impairment_;
--- a/src/platform/bulletin.hpp
+++ b/src/platform/bulletin.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// The bulletin: numbered changes to the list of exchanges, as frames and as JSON. A codec; decides nothing.
+// Codec of the bulletin, the platform's discovery service, which publishes the list of exchanges. Subscribers receive
+// it as numbered events, encoded as frames on a TCP connection and as JSON in the configuration. Makes no decisions.
 
 #include <cstdint>
 #include <optional>
@@ -14,37 +15,40 @@
 
 namespace thistlefold::platform {
 
-/// Where a listed exchange is reached.
-struct Place {
+/// An entry of the exchange list with the address at which the exchange accepts connections.
+struct ExchangeLocation {
   wire::ListEntry entry;
   iax2::Address address;
 };
 
+/// One numbered change of the exchange list.
 struct BulletinEvent {
-  std::uint64_t number = 0;
-  bool whole = false;
-  std::vector<Place> places;
+  std::uint64_t number = 0;                 ///< event numbers rise, from 1
+  bool isSnapshot = false;                  ///< the locations are the whole list: an exchange not among them is gone
+  std::vector<ExchangeLocation> locations;  ///< the exchanges that are new or changed
 };
 
-/// What a softswitch writes first: the number of the last event that it has.
-std::string askAfter(std::uint64_t number);
+/// The request that opens a subscription: the number of the last event received, in network byte order.
+std::string encodeSubscription(std::uint64_t lastEvent);
 
-/// Reads the frames of one connection.
-class Frames {
+/// Splits the bytes of one bulletin connection into frames and decodes them.
+class FrameReader {
  public:
-  /// False once the bytes can't be frames; nothing more can be read from this connection then.
+  /// Appends received bytes. Returns isValid().
   bool add(std::string_view bytes);
-  /// The next whole frame; one that holds nothing new has a number and no places and is not whole. Nothing: more
-  /// bytes are wanted, or the bytes turned out not to be frames, which add() tells from then on.
+  /// The next complete frame. An empty frame, which only reports the last event number, yields an event without
+  /// locations that is no snapshot. Returns nullopt if more bytes are needed or if the bytes turn out not to be a valid
+  /// frame; isValid() is false from then on in the latter case.
   std::optional<BulletinEvent> next();
-  bool readable() const { return readable_; }
+  /// False once the bytes were found not to be frames. Nothing more can be read from the connection then.
+  bool isValid() const { return valid_; }
 
  private:
-  std::string waiting_;
-  bool readable_ = true;
+  std::string buffer_;
+  bool valid_ = true;
 };
 
-/// The `known` of a configuration. Throws wire::ParseError.
-std::vector<BulletinEvent> readKnown(const wire::Value& known);
+/// Decodes the events in the `known` field of a configuration. Throws wire::ParseError.
+std::vector<BulletinEvent> readKnownEvents(const wire::Value& known);
 
 }  // namespace thistlefold::platform
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -1,4 +1,4 @@
-// The callers' side of a softswitch: set-ups, give-ups, tests, and who may stay connected.
+// The part of a softswitch that serves callers: set-ups, abandoned calls, pings, and the limits on connections.
 
 #include <algorithm>
 
@@ -8,306 +8,329 @@
 namespace thistlefold::platform {
 namespace {
 
-// Share of the connections; exchanges have 35%, the rest is for the bulletin and for connections that are being closed.
-constexpr double kShareOfCallers = 0.5;
-// The platform wants whoever says nothing usable told so or closed within three seconds of connecting. Until shortly
-// before that a set-up may come in pieces.
-constexpr Span kSpeakWithin = Span::ms(2700);
-// In this time a caller that has connected is read, also in a flood.
-constexpr Span kJustNow = Span::ms(100);
-// Callers close after four seconds without a call; who keeps a connection for good is closed after this.
-constexpr Span kIdleCaller = Span::ms(6000);
-// Set-ups open on one connection, and messages that can't be used before it is closed.
-constexpr std::size_t kOpenOfCaller = 512;
-constexpr int kFaultsOfCaller = 8;
-// Part of the memory that descriptions of open set-ups may fill; connections take about another quarter at worst.
-constexpr std::size_t kPartOfDescriptions = 4;
-// Calls that an exchange released before a caller named them, and releases that no caller could be told yet.
-constexpr Span kRememberOver = Span::ms(15000);
-// For this long before a planned restart ends nothing more is taken, so that all can have its answer.
-constexpr Span kLeaveTaking = Span::ms(300);
+// Share of all connections that callers may hold. Exchanges have 35%; the rest is for the bulletin and for connections
+// that are closing.
+constexpr double kCallerShare = 0.5;
+// The platform requires that a caller without a valid message is rejected or closed within three seconds of connecting.
+// Until shortly before that, a set-up may arrive in pieces.
+constexpr Span kValidMessageTimeout = Span::ms(2700);
+// A caller that connects is read within this time, even in a flood of connections.
+constexpr Span kRecentActivity = Span::ms(100);
+// The platform's callers close a connection after four seconds without a call. One that stays open is closed after
+// this.
+constexpr Span kCallerIdleTimeout = Span::ms(6000);
+// Limits of one connection: pending set-ups, and invalid messages after which it is closed.
+constexpr std::size_t kMaxPendingSetupsPerCaller = 512;
+constexpr int kMaxInvalidMessages = 8;
+// Descriptions of pending set-ups may fill this fraction (one quarter) of the memory. Connections take about another
+// quarter at worst.
+constexpr std::size_t kDescriptionMemoryDivisor = 4;
+// How long the release of a call that no caller has named yet is kept.
+constexpr Span kReleaseRetention = Span::ms(15000);
+// No set-up is accepted this long before the exit of a planned restart, so that each one accepted gets an answer.
+constexpr Span kNoNewSetupsBeforeExit = Span::ms(300);
 
-constexpr int kOverFull = 42;
-constexpr int kUnusable = 100;
+// Release causes: a limit of this office was reached; the message is invalid.
+constexpr int kCauseCongestion = 42;
+constexpr int kCauseInvalidContents = 100;
 
 }  // namespace
 
-void Softswitch::came(Instant now, Stream& stream) {
+void Softswitch::onAccepted(Instant now, Stream& stream) {
   now_ = now;
-  const auto bound = static_cast<std::size_t>(kShareOfCallers * deployment_.connections);
-  if (callers_.size() >= bound) {
-    // Who carries no set-up makes room: first the mute, then who asked and stays, then who came or spoke only just now
-    // or is halfway through a message, whose set-up may be on its way, last who had a call stand; the longest silent
-    // first. A set-up that lies unread is taken already. Where all carry one the new one goes.
-    const auto rank = [now](const CallerSide& side) {
-      const bool coming = now - side.spoke < kJustNow || side.lines.broken();
-      return std::pair(side.trusted ? 3 : coming ? 2 : side.proven ? 1 : 0, side.spoke);
+  const auto maxCallers = static_cast<std::size_t>(kCallerShare * deployment_.maxConnections);
+  if (callers_.size() >= maxCallers) {
+    // Evicts a connection without a pending set-up, in this order: those that never sent a valid message; those that
+    // did; those that connected or sent a message just now or are in the middle of one, since a set-up may be on its
+    // way; last those that had an established call. Within each group the one that has been silent for longest goes
+    // first. A connection with unread data stays, as the data may be a set-up. If all have to stay, the new connection
+    // is rejected.
+    const auto rank = [now](const CallerConnection& connection) {
+      const bool isActive = now - connection.lastMessageAt < kRecentActivity || connection.reader.hasPartialLine();
+      return std::pair(connection.hadEstablishedCall    ? 3
+                       : isActive                       ? 2
+                       : connection.hasSentValidMessage ? 1
+                                                        : 0,
+                       connection.lastMessageAt);
     };
-    std::vector<CallerSide*> idle;
-    for (const auto& side : callers_) {
-      if (side->open == 0) idle.push_back(side.get());
+    std::vector<CallerConnection*> idle;
+    for (const auto& connection : callers_) {
+      if (connection->pendingSetups == 0) idle.push_back(connection.get());
     }
-    CallerSide* least = nullptr;
-    while (least == nullptr && !idle.empty()) {
-      const auto next = std::min_element(idle.begin(), idle.end(),
-                                         [&](const CallerSide* a, const CallerSide* b) { return rank(*a) < rank(*b); });
-      if (!(*next)->stream->unread()) least = *next;
+    CallerConnection* evicted = nullptr;
+    while (evicted == nullptr && !idle.empty()) {
+      const auto next =
+          std::min_element(idle.begin(), idle.end(),
+                           [&](const CallerConnection* a, const CallerConnection* b) { return rank(*a) < rank(*b); });
+      if (!(*next)->stream->hasUnreadData()) evicted = *next;
       idle.erase(next);
     }
-    ++counts_.overBound;
-    if (least == nullptr) return stream.cut();
-    closeCaller(*least, true);
+    ++counters_.limitHits;
+    if (evicted == nullptr) return stream.abort();
+    closeCaller(*evicted, true);
   }
-  auto side = std::make_unique<CallerSide>();
-  side->what = Side::What::caller;
-  side->stream = &stream;
-  side->since = side->spoke = now;
-  stream.kept = side.get();
-  callers_.push_back(std::move(side));
+  auto connection = std::make_unique<CallerConnection>();
+  connection->type = Connection::Type::caller;
+  connection->stream = &stream;
+  connection->connectedAt = connection->lastMessageAt = now;
+  stream.userData = connection.get();
+  callers_.push_back(std::move(connection));
 }
 
-void Softswitch::fromCaller(CallerSide& side, std::string_view line) {
+void Softswitch::onCallerMessage(CallerConnection& connection, std::string_view line) {
   const auto message = readMessage(line);
   if (!message) {
-    // What follows can't be trusted to begin where a message does.
-    ++counts_.unusable;
-    side.stream->send(writeMessage(Kind::release, "0000000000000000", {}, kUnusable));
-    return closeCaller(side);
+    // The next byte need not be the start of a message, so the rest of the stream can't be read.
+    ++counters_.invalidFromCallers;
+    connection.stream->send(writeMessage(MessageKind::release, "0000000000000000", {}, kCauseInvalidContents));
+    return closeCaller(connection);
   }
-  side.spoke = now_;
+  connection.lastMessageAt = now_;
   switch (message->kind) {
-    case Kind::setup:
-      return setup(side, *message);
-    case Kind::release: {
+    case MessageKind::setup:
+      return onSetup(connection, *message);
+    case MessageKind::release: {
       const auto it = calls_.find(message->id);
-      if (it == calls_.end() || it->second->state == Call::State::done) {
-        if (message->id.empty()) return unusable(side, message->id);
-        side.stream->send(writeMessage(Kind::released, message->id, {}));
+      if (it == calls_.end() || it->second->state == Call::State::finished) {
+        if (message->id.empty()) return rejectInvalid(connection, message->id);
+        connection.stream->send(writeMessage(MessageKind::released, message->id, {}));
         return;
       }
-      side.proven = true;
-      side.stream->send(writeMessage(Kind::released, message->id, {}));
-      return releasedByCaller(*it->second, message->cause.value_or(kNormal));
+      connection.hasSentValidMessage = true;
+      connection.stream->send(writeMessage(MessageKind::released, message->id, {}));
+      return onCallerRelease(*it->second, message->cause.value_or(kCauseNormalClearing));
     }
-    case Kind::ping: {
-      side.proven = true;
-      const bool passes = stoppingSince_ == Instant::never();
-      side.stream->send(writeMessage(Kind::pong, message->id, {}, passes ? 1 : 0));
+    case MessageKind::ping: {
+      connection.hasSentValidMessage = true;
+      const bool acceptsCalls = stoppingSince_ == Instant::never();
+      connection.stream->send(writeMessage(MessageKind::pong, message->id, {}, acceptsCalls ? 1 : 0));
       return;
     }
-    case Kind::released:
-    case Kind::progress:
+    case MessageKind::released:
+    case MessageKind::progress:
       return;
     default:
-      return unusable(side, message->id);
+      return rejectInvalid(connection, message->id);
   }
 }
 
-void Softswitch::unusable(CallerSide& side, std::string_view id) {
-  ++counts_.unusable;
-  side.stream->send(writeMessage(Kind::release, id.empty() ? "0000000000000000" : id, {}, kUnusable));
-  if (id.empty() || ++side.faults >= kFaultsOfCaller) closeCaller(side);
+void Softswitch::rejectInvalid(CallerConnection& connection, std::string_view id) {
+  ++counters_.invalidFromCallers;
+  connection.stream->send(
+      writeMessage(MessageKind::release, id.empty() ? "0000000000000000" : id, {}, kCauseInvalidContents));
+  if (id.empty() || ++connection.invalidMessages >= kMaxInvalidMessages) closeCaller(connection);
 }
 
-void Softswitch::overFull(CallerSide& side, std::string_view id) {
-  ++counts_.overBound;
+void Softswitch::rejectOverloaded(CallerConnection& connection, std::string_view id) {
+  ++counters_.limitHits;
   Fields fields;
-  if (deployment_.data.honoursRetryAfter) fields.emplace_back("wait", milliseconds(deployment_.data.longestRetryAfter));
-  side.stream->send(writeMessage(Kind::release, id, fields, kOverFull));
+  if (deployment_.officeConfig.honoursRetryAfter)
+    fields.emplace_back("wait", formatMilliseconds(deployment_.officeConfig.longestRetryAfter));
+  connection.stream->send(writeMessage(MessageKind::release, id, fields, kCauseCongestion));
 }
 
-void Softswitch::setup(CallerSide& side, const Message& message) {
+void Softswitch::onSetup(CallerConnection& connection, const Message& message) {
   const std::string_view extras = message.field("extras").value_or("");
-  if (message.id.empty()) return unusable(side, message.id);
-  if (const auto at = figure(extras, "at")) return standsAlready(side, message, *at);
-  if (const auto held = calls_.find(message.id); held != calls_.end()) {
-    // Whoever uses a number that is open is told so; the call that has it goes on.
-    if (held->second->caller != &side) return unusable(side, message.id);
-    ++counts_.unusable;
-    if (held->second->state == Call::State::open || held->second->state == Call::State::ringing) {
-      // Under one number on one connection there can be only one answer, and none would be for both.
-      Call& call = *held->second;
-      releasedByCaller(call, kNormal);
-      side.stream->send(writeMessage(Kind::release, message.id, {}, kUnusable));
+  if (message.id.empty()) return rejectInvalid(connection, message.id);
+  if (const auto exchange = findFigure(extras, "at")) return adoptEstablishedCall(connection, message, *exchange);
+  if (const auto existing = calls_.find(message.id); existing != calls_.end()) {
+    // The id of a current call was used again. From another connection only that set-up is rejected; the call goes on.
+    if (existing->second->caller != &connection) return rejectInvalid(connection, message.id);
+    ++counters_.invalidFromCallers;
+    if (existing->second->state == Call::State::unrouted || existing->second->state == Call::State::invited) {
+      // On one connection an id can have only one final answer, which could not be matched to either set-up, so that
+      // both fail.
+      Call& call = *existing->second;
+      onCallerRelease(call, kCauseNormalClearing);
+      connection.stream->send(writeMessage(MessageKind::release, message.id, {}, kCauseInvalidContents));
     }
     return;
   }
-  const auto figureOf = [&](std::string_view name) -> std::optional<double> {
-    const auto text = figure(extras, name);
+  const auto readFigure = [&](std::string_view name) -> std::optional<double> {
+    const auto text = findFigure(extras, name);
     return text ? readNumber(*text) : std::nullopt;
   };
   const auto service =
       std::find(deployment_.services.begin(), deployment_.services.end(), message.field("class").value_or(""));
-  const auto left = readNumber(message.field("left").value_or(""));
-  const auto dest = figureOf("dest");
+  const auto timeLeft = readNumber(message.field("left").value_or(""));
+  const auto destinationPlace = readFigure("dest");
   const std::string_view key = message.field("key").value_or("");
-  const auto number = readHex(key);
-  const auto serviceAt = static_cast<std::size_t>(service - deployment_.services.begin());
-  const bool known = service != deployment_.services.end();
-  const double width = figureOf("width").value_or(known ? deployment_.widths[serviceAt] : 1);
-  if (!known || !left || *left <= 0 || *left > 3.6e6 || !dest || *dest < 0 || *dest > 1e6 || !number || width <= 0 ||
-      width > 1e4 || message.description.empty()) {
-    return unusable(side, message.id);
+  const auto dialledNumber = readHex(key);
+  const auto serviceIndex = static_cast<std::size_t>(service - deployment_.services.begin());
+  const bool isKnownService = service != deployment_.services.end();
+  const double width = readFigure("width").value_or(isKnownService ? deployment_.defaultWidths[serviceIndex] : 1);
+  if (!isKnownService || !timeLeft || *timeLeft <= 0 || *timeLeft > 3.6e6 || !destinationPlace ||
+      *destinationPlace < 0 || *destinationPlace > 1e6 || !dialledNumber || width <= 0 || width > 1e4 ||
+      message.description.empty()) {
+    return rejectInvalid(connection, message.id);
   }
-  side.proven = true;
-  if (openCalls_ >= deployment_.openCalls || side.open >= kOpenOfCaller ||
-      descriptions_ + message.description.size() > deployment_.memory / kPartOfDescriptions ||
-      now_ > leaveAt_ - kLeaveTaking) {
-    return overFull(side, message.id);
+  connection.hasSentValidMessage = true;
+  if (pendingSetups_ >= deployment_.maxPendingSetups || connection.pendingSetups >= kMaxPendingSetupsPerCaller ||
+      descriptionBytes_ + message.description.size() > deployment_.memoryBytes / kDescriptionMemoryDivisor ||
+      now_ > exitAt_ - kNoNewSetupsBeforeExit) {
+    return rejectOverloaded(connection, message.id);
   }
-  auto made = std::make_unique<Call>();
-  Call& call = *made;
+  auto newCall = std::make_unique<Call>();
+  Call& call = *newCall;
   call.id = message.id;
   call.key = key;
   call.description = message.description;
-  descriptions_ += call.description.size();
-  call.serviceAt = serviceAt;
-  call.service = &deployment_.data.services[serviceAt];
+  descriptionBytes_ += call.description.size();
+  call.serviceIndex = serviceIndex;
+  call.service = &deployment_.officeConfig.services[serviceIndex];
   call.width = width;
-  call.destination = registry_.at(*dest);
-  call.timerLimit = std::min(now_ + Span::ms(*left), leaveAt_ - kLeaveTaking * 0.5);
-  call.dialledNumber = *number;
-  call.transit = figureOf("transit").value_or(0) == 1;
-  call.wasCut = figureOf("again").value_or(0) == 1;
-  call.caller = &side;
-  ++side.open;
-  ++openCalls_;
-  ++counts_.taken;
-  calls_.emplace(call.id, std::move(made));
-  events_.push_back([&call](Controller& to) { to.sessionArrived(call); });
+  call.destination = registry_.at(*destinationPlace);
+  call.timerLimit = std::min(now_ + Span::ms(*timeLeft), exitAt_ - kNoNewSetupsBeforeExit * 0.5);
+  call.dialledNumber = *dialledNumber;
+  call.transit = readFigure("transit").value_or(0) == 1;
+  call.wasCut = readFigure("again").value_or(0) == 1;
+  call.caller = &connection;
+  ++connection.pendingSetups;
+  ++pendingSetups_;
+  ++counters_.acceptedSetups;
+  calls_.emplace(call.id, std::move(newCall));
+  queuedEvents_.push_back([&call](Controller& to) { to.sessionArrived(call); });
 }
 
-// A call that stood before this softswitch started: it is the caller's and the exchange's already, so the module hears
-// nothing of it; only its end is passed on.
-void Softswitch::standsAlready(CallerSide& side, const Message& message, std::string_view at) {
-  const auto id = readExchangeId(at);
+// Registers a call that was established before this softswitch started. The controller is not notified of it, as there
+// is nothing left to decide; only the release is relayed between caller and exchange.
+void Softswitch::adoptEstablishedCall(CallerConnection& connection, const Message& message, std::string_view exchange) {
+  const auto id = readExchangeId(exchange);
   auto* peer = id ? static_cast<Peer*>(registry_.known(*id)) : nullptr;
-  if (const auto held = calls_.find(message.id); held != calls_.end()) {
-    if (held->second->state == Call::State::standing && held->second->peer == peer) {
-      side.proven = side.trusted = true;
-      if (held->second->caller == nullptr) held->second->caller = &side;
+  if (const auto existing = calls_.find(message.id); existing != calls_.end()) {
+    if (existing->second->state == Call::State::established && existing->second->peer == peer) {
+      connection.hasSentValidMessage = connection.hadEstablishedCall = true;
+      if (existing->second->caller == nullptr) existing->second->caller = &connection;
     }
     return;
   }
-  const auto was =
-      std::find_if(overUnknown_.begin(), overUnknown_.end(), [&](const Over& one) { return one.id == message.id; });
-  if (was != overUnknown_.end()) {
-    side.proven = side.trusted = true;
-    side.stream->send(writeMessage(Kind::release, message.id, {}, was->cause));
-    overUnknown_.erase(was);
+  const auto released = std::find_if(unmatchedReleases_.begin(), unmatchedReleases_.end(),
+                                     [&](const StoredRelease& release) { return release.id == message.id; });
+  if (released != unmatchedReleases_.end()) {
+    connection.hasSentValidMessage = connection.hadEstablishedCall = true;
+    connection.stream->send(writeMessage(MessageKind::release, message.id, {}, released->cause));
+    unmatchedReleases_.erase(released);
     return;
   }
-  if (peer == nullptr || calls_.size() >= 2 * deployment_.openCalls) return unusable(side, message.id);
-  side.proven = side.trusted = true;
-  auto made = std::make_unique<Call>();
-  made->id = message.id;
-  made->state = Call::State::standing;
-  made->ofModule = false;
-  made->caller = &side;
-  made->peer = peer;
-  made->stoodAt = now_;
-  peer->standing.push_back(made.get());
-  calls_.emplace(message.id, std::move(made));
+  if (peer == nullptr || calls_.size() >= 2 * deployment_.maxPendingSetups)
+    return rejectInvalid(connection, message.id);
+  connection.hasSentValidMessage = connection.hadEstablishedCall = true;
+  auto newCall = std::make_unique<Call>();
+  newCall->id = message.id;
+  newCall->state = Call::State::established;
+  newCall->knownToController = false;
+  newCall->caller = &connection;
+  newCall->peer = peer;
+  newCall->establishedAt = now_;
+  peer->establishedCalls.push_back(newCall.get());
+  calls_.emplace(message.id, std::move(newCall));
 }
 
-void Softswitch::releasedByCaller(Call& call, int cause) {
-  if (call.state == Call::State::standing) {
-    release(*call.peer, nullptr, call.id, cause);
-    std::erase(call.peer->standing, &call);
-    if (call.ofModule) {
-      events_.push_back([&call, at = call.peer](Controller& to) {
-        to.inviteEnded(call, *at, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
+void Softswitch::onCallerRelease(Call& call, int cause) {
+  if (call.state == Call::State::established) {
+    sendRelease(*call.peer, nullptr, call.id, cause);
+    std::erase(call.peer->establishedCalls, &call);
+    if (call.knownToController) {
+      queuedEvents_.push_back([&call, peer = call.peer](Controller& to) {
+        to.inviteEnded(call, *peer, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
       });
     }
-    call.state = Call::State::done;
-    finished_.push_back(call.id);
+    call.state = Call::State::finished;
+    finishedCallIds_.push_back(call.id);
     return;
   }
-  ++counts_.abandoned;
-  const bool ringing = call.state == Call::State::ringing;
+  ++counters_.abandoned;
+  const bool wasInvited = call.state == Call::State::invited;
   Peer* peer = call.peer;
-  if (ringing) {
-    TrunkSide& side = *call.trunk;
-    std::erase(side.ringing, &call);
-    std::erase(ringing_, &call);
+  if (wasInvited) {
+    TrunkConnection& connection = *call.trunk;
+    std::erase(connection.invitedCalls, &call);
+    std::erase(invitedCalls_, &call);
     call.trunk = nullptr;
-    if (side.up) release(*peer, &side, call.id, kNormal);
+    if (connection.connected) sendRelease(*peer, &connection, call.id, kCauseNormalClearing);
   }
-  events_.push_back([&call, ringing, peer](Controller& to) {
+  queuedEvents_.push_back([&call, wasInvited, peer](Controller& to) {
     to.sessionAbandoned(call);
-    if (ringing) to.inviteEnded(call, *peer, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
+    if (wasInvited)
+      to.inviteEnded(call, *peer, InviteOutcome::cancelled, BlockingReason::none, false, Span::none(), true);
   });
-  if (call.caller != nullptr) --call.caller->open;
-  --openCalls_;
+  if (call.caller != nullptr) --call.caller->pendingSetups;
+  --pendingSetups_;
   dropDescription(call);
-  call.state = Call::State::done;
+  call.state = Call::State::finished;
   call.caller = nullptr;
-  finished_.push_back(call.id);
+  finishedCallIds_.push_back(call.id);
 }
 
 void Softswitch::dropDescription(Call& call) {
-  descriptions_ -= call.description.size();
+  descriptionBytes_ -= call.description.size();
   std::string().swap(call.description);
 }
 
-/// Where this side closes, each set-up that is open on it gets its final answer first. `atOnce`: where nothing must
-/// still go out, its descriptor is free for the next at once. A caller that closes its own direction alone is taken for
-/// gone like one that closes both: the platform's callers give up what is open by closing, and from here the two look
-/// the same.
-void Softswitch::closeCaller(CallerSide& side, bool atOnce) {
-  const bool owes = side.open > 0;
+// Closes a caller's connection; each set-up that is pending on it gets a final answer first. `atOnce`: if nothing
+// remains to be delivered the connection is aborted, which frees its file descriptor at once. A half-close counts as a
+// close: the platform's callers abandon pending set-ups by closing, and a receiver can't tell the two apart.
+void Softswitch::closeCaller(CallerConnection& connection, bool atOnce) {
+  const bool hasPendingSetups = connection.pendingSetups > 0;
   for (auto& [id, call] : calls_) {
-    if (call->caller != &side) continue;
-    if (call->state == Call::State::open || call->state == Call::State::ringing) {
-      if (side.stream != nullptr) side.stream->send(writeMessage(Kind::release, id, {}, kFailed));
-      releasedByCaller(*call, kNormal);
+    if (call->caller != &connection) continue;
+    if (call->state == Call::State::unrouted || call->state == Call::State::invited) {
+      if (connection.stream != nullptr)
+        connection.stream->send(writeMessage(MessageKind::release, id, {}, kCauseTemporaryFailure));
+      onCallerRelease(*call, kCauseNormalClearing);
     }
-    call->caller = nullptr;  // a standing call belongs to no connection
+    call->caller = nullptr;  // an established call does not depend on a connection
   }
-  if (side.stream != nullptr) {
-    // A close with something unread is a reset, and takes along what is still on its way to the caller.
-    const bool clean = !owes && side.stream->unsent() == 0 && !side.stream->unread();
-    atOnce&& clean ? side.stream->cut() : side.stream->end();
-    side.stream = nullptr;
+  if (connection.stream != nullptr) {
+    // Closing a socket with unread data sends a reset, which destroys data that is still on its way to the caller.
+    const bool nothingInTransit =
+        !hasPendingSetups && connection.stream->unsentBytes() == 0 && !connection.stream->hasUnreadData();
+    atOnce&& nothingInTransit ? connection.stream->abort() : connection.stream->close();
+    connection.stream = nullptr;
   }
-  const auto it = std::find_if(callers_.begin(), callers_.end(), [&](const auto& one) { return one.get() == &side; });
-  dead_.push_back(std::move(*it));
+  const auto it =
+      std::find_if(callers_.begin(), callers_.end(), [&](const auto& release) { return release.get() == &connection; });
+  closedConnections_.push_back(std::move(*it));
   callers_.erase(it);
 }
 
-// Where a call's release goes: where its set-up came, else to whoever of the usual callers spoke last.
-CallerSide* Softswitch::callerFor(const Call& call) {
+// Selects the connection for a call's release: the one that its set-up was received on, otherwise, of the callers that
+// had an established call, the one that sent a message last.
+CallerConnection* Softswitch::findCallerFor(const Call& call) {
   if (call.caller != nullptr) return call.caller;
-  CallerSide* best = nullptr;
-  for (const auto& side : callers_) {
-    if (!side->trusted) continue;
-    if (best == nullptr || side->spoke > best->spoke) best = side.get();
+  CallerConnection* best = nullptr;
+  for (const auto& connection : callers_) {
+    if (!connection->hadEstablishedCall) continue;
+    if (best == nullptr || connection->lastMessageAt > best->lastMessageAt) best = connection.get();
   }
   return best;
 }
 
-void Softswitch::tellCaller(Call& call, int cause) {
-  if (CallerSide* side = callerFor(call)) {
-    side->stream->send(writeMessage(Kind::release, call.id, {}, cause));
-  } else if (owedToCallers_.size() < kOver) {
-    owedToCallers_.push_back({call.id, now_, cause});
+void Softswitch::notifyCaller(Call& call, int cause) {
+  if (CallerConnection* connection = findCallerFor(call)) {
+    connection->stream->send(writeMessage(MessageKind::release, call.id, {}, cause));
+  } else if (undeliveredReleases_.size() < kMaxStoredReleases) {
+    undeliveredReleases_.push_back({call.id, now_, cause});
   }
 }
 
-void Softswitch::keepCallers() {
+void Softswitch::maintainCallers() {
   for (std::size_t i = callers_.size(); i-- > 0;) {
-    CallerSide& side = *callers_[i];
-    const bool mute = !side.proven && now_ - side.since > kSpeakWithin;
-    const bool stuck = side.brokenSince != Instant::never() && now_ - side.brokenSince > kSpeakWithin;
-    const bool idle = side.open == 0 && now_ - side.spoke > kIdleCaller;
-    if ((mute || stuck || idle) && !side.stream->unread()) closeCaller(side, true);
+    CallerConnection& connection = *callers_[i];
+    const bool neverValid = !connection.hasSentValidMessage && now_ - connection.connectedAt > kValidMessageTimeout;
+    const bool isStuck =
+        connection.partialLineSince != Instant::never() && now_ - connection.partialLineSince > kValidMessageTimeout;
+    const bool idle = connection.pendingSetups == 0 && now_ - connection.lastMessageAt > kCallerIdleTimeout;
+    if ((neverValid || isStuck || idle) && !connection.stream->hasUnreadData()) closeCaller(connection, true);
   }
-  std::erase_if(overUnknown_, [&](const Over& one) { return now_ - one.at > kRememberOver; });
-  if (!owedToCallers_.empty()) {
-    Call nobody;
-    if (CallerSide* side = callerFor(nobody)) {
-      for (const Over& one : owedToCallers_) side->stream->send(writeMessage(Kind::release, one.id, {}, one.cause));
-      owedToCallers_.clear();
+  std::erase_if(unmatchedReleases_,
+                [&](const StoredRelease& release) { return now_ - release.storedAt > kReleaseRetention; });
+  if (!undeliveredReleases_.empty()) {
+    Call noCall;
+    if (CallerConnection* connection = findCallerFor(noCall)) {
+      for (const StoredRelease& release : undeliveredReleases_)
+        connection->stream->send(writeMessage(MessageKind::release, release.id, {}, release.cause));
+      undeliveredReleases_.clear();
     }
   }
 }
--- a/src/platform/connections.hpp
+++ b/src/platform/connections.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// What a softswitch keeps of its connections, of exchanges and of calls. Its own files' business alone.
+// State that a softswitch keeps for its connections, the exchanges and the calls. Private to
+// softswitch.cpp, callers.cpp and exchanges.cpp.
 
 #include <memory>
 #include <string>
@@ -15,72 +16,85 @@
 
 namespace thistlefold::platform {
 
-// Wait before an exchange is dialled again.
-inline constexpr Span kRedialFirst = Span::ms(50);
-// Releases that are kept for who can't be told yet, each list of them.
-inline constexpr std::size_t kOver = 2048;
-// Causes: given up, or the end of a call; failed, or cut.
-inline constexpr int kNormal = 16;
-inline constexpr int kFailed = 41;
+/// First back-off before a new connection attempt to an exchange.
+inline constexpr Span kInitialBackoff = Span::ms(50);
+/// Maximum length of each list of releases that can't be delivered yet.
+inline constexpr std::size_t kMaxStoredReleases = 2048;
+/// Release causes: a normal end or an abandoned set-up; a failed set-up or a dropped call.
+inline constexpr int kCauseNormalClearing = 16;
+inline constexpr int kCauseTemporaryFailure = 41;
 
 struct Call;
 struct Peer;
 
-struct Side {
-  virtual ~Side() = default;
-  enum class What { caller, trunk, bulletin } what = What::caller;
-  Stream* stream = nullptr;  // nullptr: closed, or never was
+/// State common to all connections of a softswitch.
+struct Connection {
+  virtual ~Connection() = default;
+  enum class Type { caller, trunk, bulletin } type = Type::caller;
+  Stream* stream = nullptr;  ///< nullptr: closed, or not opened yet
 };
 
-struct CallerSide : Side {
-  Lines lines;
-  Instant since, brokenSince = Instant::never(), spoke;
-  bool proven = false;   // sent something that can be used
-  bool trusted = false;  // a call of it stood
-  int faults = 0;
-  std::size_t open = 0;  // set-ups without a final answer
+/// An incoming connection of a caller.
+struct CallerConnection : Connection {
+  LineReader reader;
+  /// `partialLineSince`: when the incomplete line that waits was first seen; never if there is none.
+  Instant connectedAt, partialLineSince = Instant::never(), lastMessageAt;
+  bool hasSentValidMessage = false;
+  bool hadEstablishedCall = false;
+  int invalidMessages = 0;
+  std::size_t pendingSetups = 0;  ///< set-ups without a final answer
 };
 
 /// A release that was written to an exchange.
-struct Told {
+struct SentRelease {
   std::string id;
   int cause;
-  Instant at;
+  Instant sentAt;
 };
 
-struct TrunkSide : Side {
+/// An outgoing connection to an exchange.
+struct TrunkConnection : Connection {
   Peer* peer = nullptr;
-  Lines lines;
-  bool up = false;
-  bool doubtful = false;
-  Instant dialled, heard, spokenTo;
-  std::vector<Call*> ringing;
-  std::vector<Told> told;  // releases written here that were not heard for sure yet
+  LineReader reader;
+  bool connected = false;
+  bool suspect = false;  ///< a set-up on it timed out and nothing was received since
+  /// `lastRequestAt`: when the last set-up, or the release of a set-up that timed out, was written.
+  Instant connectStartedAt, lastReceivedAt, lastRequestAt;
+  std::vector<Call*> invitedCalls;
+  std::vector<SentRelease> sentReleases;  ///< releases written to it that were not acknowledged yet
 };
 
+/// A listed exchange.
 struct Peer : wire::ListedExchange {
-  iax2::Address address;
-  std::vector<std::unique_ptr<TrunkSide>> sides;
-  std::vector<std::pair<std::string, int>> owed;  // releases to write on the next connection
-  std::vector<Call*> standing;
-  Instant nextDial = Instant::longAgo();
-  Instant anewAt = Instant::longAgo();  // told of another process there
-  Span redial = kRedialFirst;
-  Instant refusedSince = Instant::never();  // none stands and connections are refused
-  Instant alive = Instant::longAgo();       // it said something, or took a connection
-  Instant triedAt = Instant::longAgo();
-  int untaken = 0;  // connections that did not come up since it was alive
+  iax2::Address address;  ///< default value: unknown, or taken over by another exchange
+  std::vector<std::unique_ptr<TrunkConnection>> connections;
+  std::vector<std::pair<std::string, int>> pendingReleases;  ///< id and cause, written on the next connection
+  std::vector<Call*> establishedCalls;
+  Instant nextConnectAt = Instant::longAgo();
+  Instant restartedAt = Instant::longAgo();  ///< when the bulletin reported a new process or address
+  Span backoff = kInitialBackoff;
+  Instant refusedSince = Instant::never();   ///< connection attempts fail since then and none is established
+  Instant lastAliveAt = Instant::longAgo();  ///< when it last sent a message or accepted a connection
+  Instant livenessCheckedAt = Instant::longAgo();
+  int failedConnects = 0;  ///< connection attempts that failed since `lastAliveAt`
 };
 
+/// A call, from its set-up to its end. Owned by the softswitch.
 struct Call : Session {
+  /// `key`: the dialled number as written in the set-up. `description`: empty once the set-up has its final answer.
   std::string id, key, description;
-  std::size_t serviceAt = 0;
-  enum class State { open, ringing, standing, done } state = State::open;
-  bool ofModule = true;  // not one that stood before this softswitch started
-  CallerSide* caller = nullptr;
-  TrunkSide* trunk = nullptr;
-  Peer* peer = nullptr;
-  Instant giveUp, stoodAt;
+  std::size_t serviceIndex = 0;
+  enum class State {
+    unrouted,     ///< no INVITE is out; the controller decides
+    invited,      ///< an INVITE is out or waits for its connection
+    established,  ///< answered
+    finished      ///< removed after the round
+  } state = State::unrouted;
+  bool knownToController = true;       ///< false: was established before this softswitch started
+  CallerConnection* caller = nullptr;  ///< nullptr: the caller's connection is closed
+  TrunkConnection* trunk = nullptr;    ///< set while an INVITE is out
+  Peer* peer = nullptr;                ///< the exchange of the last INVITE
+  Instant giveUpAt, establishedAt;
 };
 
 }  // namespace thistlefold::platform
--- a/src/platform/deployment.cpp
+++ b/src/platform/deployment.cpp
@@ -12,52 +12,53 @@
 
 using namespace wire;
 
-// Beside connections: standard streams, the listener, the poller, timers, signals, the configuration while it is read.
+// File descriptors that are not connections: standard streams, listener, poller, timers, signals, the configuration file.
 constexpr int kOtherDescriptors = 16;
 
 iax2::Address address(const Value& fields, const char* field) {
-  const auto read = iax2::parseAddress(name(fields, field));
-  if (!read) failField(field, "an address and a port are wanted, as in 127.0.0.1:5070");
-  return *read;
+  const auto parsed = iax2::parseAddress(name(fields, field));
+  if (!parsed) failField(field, "an address and a port are wanted, as in 127.0.0.1:5070");
+  return *parsed;
 }
 
 }  // namespace
 
 Deployment readDeployment(std::string_view text) {
-  rapidjson::Document read;
-  read.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (read.HasParseError()) {
-    throw ParseError(std::string(rapidjson::GetParseError_En(read.GetParseError())) + " at offset " +
-                     std::to_string(read.GetErrorOffset()));
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError()) {
+    throw ParseError(std::string(rapidjson::GetParseError_En(document.GetParseError())) + " at offset " +
+                     std::to_string(document.GetErrorOffset()));
   }
-  if (!read.IsObject()) throw ParseError("an object is wanted at offset 0");
-  Deployment out;
-  out.name = name(read, "name", "");
-  out.listen = address(read, "listen");
-  out.bulletin = address(read, "bulletin");
-  const auto seed = readHex(name(read, "seed", "0"));
+  if (!document.IsObject()) throw ParseError("an object is wanted at offset 0");
+  Deployment deployment;
+  deployment.name = name(document, "name", "");
+  deployment.listenAddress = address(document, "listen");
+  deployment.bulletinAddress = address(document, "bulletin");
+  const auto seed = readHex(name(document, "seed", "0"));
   if (!seed) failField("seed", "hex digits are wanted");
-  out.seed = *seed;
-  out.connections = std::clamp(integer(object(read, "limits"), "sockets", 256), 64, 65536) - kOtherDescriptors;
-  out.memory = static_cast<std::size_t>(std::clamp(integer(object(read, "limits"), "memory_mb", 32), 8, 65536)) << 20;
-  out.known = readKnown(object(read, "known"));
-  const Value& settings = object(read, "settings");
-  out.data = readOfficeConfig(settings);
-  out.here = out.data.pools ? -1 : ownPlace(settings);
+  deployment.seed = *seed;
+  deployment.maxConnections = std::clamp(integer(object(document, "limits"), "sockets", 256), 64, 65536) - kOtherDescriptors;
+  deployment.memoryBytes = static_cast<std::size_t>(std::clamp(integer(object(document, "limits"), "memory_mb", 32), 8, 65536))
+                    << 20;
+  deployment.knownEvents = readKnownEvents(object(document, "known"));
+  const Value& settings = object(document, "settings");
+  deployment.officeConfig = readOfficeConfig(settings);
+  deployment.ownPlace = deployment.officeConfig.pools ? -1 : ownPlace(settings);
   const Value& widths = array(object(settings, "FamilyInfo"), "ChannelsNeeded");
   const Value& grades = array(settings, "Grades");
   for (rapidjson::SizeType i = 0; i < grades.Size(); ++i) {
-    out.services.emplace_back(name(grades[i], "Name"));
-    out.widths.push_back(element(widths, i, "ChannelsNeeded", 1));
+    deployment.services.emplace_back(name(grades[i], "Name"));
+    deployment.defaultWidths.push_back(element(widths, i, "ChannelsNeeded", 1));
   }
   const Value& caps = object(settings, "Caps");
-  out.openCalls = static_cast<std::size_t>(std::clamp(integer(caps, "OpenCap", 20000), 1, 1000000));
-  out.connectWithin = Span::ms(number(caps, "ConnectTimeout", 500));
-  for (const Value& one : array(object(settings, "Report"), "Names").GetArray()) {
-    if (!one.IsString()) failField("Names", "text is wanted");
-    out.reports.emplace_back(wire::text(one));
+  deployment.maxPendingSetups = static_cast<std::size_t>(std::clamp(integer(caps, "OpenCap", 20000), 1, 1000000));
+  deployment.connectTimeout = Span::ms(number(caps, "ConnectTimeout", 500));
+  for (const Value& fieldName : array(object(settings, "Report"), "Names").GetArray()) {
+    if (!fieldName.IsString()) failField("Names", "text is wanted");
+    deployment.reportFields.emplace_back(wire::text(fieldName));
   }
-  return out;
+  return deployment;
 }
 
 }  // namespace thistlefold::platform
--- a/src/platform/deployment.hpp
+++ b/src/platform/deployment.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The configuration that the platform lays down for one softswitch.
+// The configuration that the platform writes for one softswitch.
 
 #include <cstdint>
 #include <string>
@@ -13,24 +13,25 @@
 
 namespace thistlefold::platform {
 
+/// Decoded configuration of one softswitch.
 struct Deployment {
   std::string name;
-  iax2::Address listen;
-  iax2::Address bulletin;
-  std::uint64_t seed = 0;
-  int connections = 240;          // at once, of any kind; what the descriptors leave
-  std::size_t memory = 32 << 20;  // bytes
-  std::vector<BulletinEvent> known;
-  OfficeConfig data;
-  int here = -1;                      // the own exchange's place
-  std::vector<std::string> services;  // names, in the order of `data.services`
-  std::vector<double> widths;         // circuits, where a set-up names none
-  std::vector<std::string> reports;   // names of a report's figures, in order
-  std::size_t openCalls = 20000;      // set-ups held at once
-  Span connectWithin;
+  iax2::Address listenAddress;             ///< where callers connect
+  iax2::Address bulletinAddress;           ///< the discovery service, see platform/bulletin.hpp
+  std::uint64_t seed = 0;                  ///< of the random number generators
+  int maxConnections = 240;                ///< simultaneous connections of all kinds within the file descriptor limit
+  std::size_t memoryBytes = 32 << 20;      ///< memory limit of the process
+  std::vector<BulletinEvent> knownEvents;  ///< bulletin events known when the configuration was written
+  OfficeConfig officeConfig;
+  int ownPlace = -1;                      ///< place of the own exchange; -1: none
+  std::vector<std::string> services;      ///< names, in the order of `officeConfig.services`
+  std::vector<double> defaultWidths;      ///< circuits by service, for set-ups that name no width
+  std::vector<std::string> reportFields;  ///< names of the figures in an exchange's load report, in order
+  std::size_t maxPendingSetups = 20000;   ///< set-ups without a final answer held at once
+  Span connectTimeout;                    ///< for connections to exchanges
 };
 
-/// Throws wire::ParseError with the field or the offset.
+/// Decodes a configuration. Throws wire::ParseError, whose text names the field or the offset.
 Deployment readDeployment(std::string_view text);
 
 }  // namespace thistlefold::platform
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -1,4 +1,4 @@
-// The exchanges' side of a softswitch: connections to them, INVITEs, standing calls and what they report.
+// The part of a softswitch that serves exchanges: connections to them, INVITEs, established calls and load reports.
 
 #include <algorithm>
 
@@ -8,370 +8,394 @@
 namespace thistlefold::platform {
 namespace {
 
-// Connections to one exchange: one a set-up, so that a spoilt or silent one takes no other set-up with it. At the
-// bound set-ups share the one with the fewest.
-constexpr std::size_t kSidesOfPeer = 12;
-// Share of the connections, over all exchanges; callers have half.
-constexpr double kShareOfTrunks = 0.35;
-// A connection beyond the spare ones on which nothing came for this long is closed.
-constexpr Span kIdleTrunk = Span::ms(10000);
-constexpr std::size_t kSpareTrunks = 2;
-// A connection on which a set-up went unanswered gets no other until it speaks, and is closed after this.
-constexpr Span kDoubtful = Span::ms(2000);
-// Where connections do not come up the wait between them doubles from kRedialFirst to this.
-constexpr Span kRedialLast = Span::ms(800);
-// An exchange that refuses connections for this long, with none standing, is dead and has cut its calls.
-constexpr Span kDeadAfter = Span::ms(1000);
-// An exchange at which calls stand and that says nothing is tried with a new connection: a machine that has vanished
-// takes none, and nobody but us can tell its callers. The platform wants them told within eight seconds.
-constexpr Span kQuiet = Span::ms(1500);
-constexpr Span kTryEvery = Span::ms(800);
-constexpr Span kVanished = Span::ms(5000);
-// A release may be lost with the connection it was written to. Where that ends within this time it is written again on
-// another; the longest way there and back, and a few times more. So many of one connection are remembered.
-constexpr Span kToldAgain = Span::ms(1000);
-constexpr std::size_t kToldOfSide = 64;
+// Maximum number of connections to one exchange. Each set-up has a connection of its own, so that a corrupt or
+// unresponsive one affects no other set-up. At the limit, a set-up shares the connection that carries the fewest.
+constexpr std::size_t kMaxConnectionsPerPeer = 12;
+// Share of all connections that exchanges may hold together. Callers have half.
+constexpr double kTrunkShare = 0.35;
+// A connection on which nothing was received for this long is closed, except for the spare ones.
+constexpr Span kTrunkIdleTimeout = Span::ms(10000);
+constexpr std::size_t kSpareTrunkConnections = 2;
+// A connection on which a set-up timed out is suspect: it gets no other set-up until something is received on it, and
+// is closed after this time.
+constexpr Span kSuspectTimeout = Span::ms(2000);
+// While connection attempts fail, the back-off between them doubles from kInitialBackoff to this.
+constexpr Span kMaxBackoff = Span::ms(800);
+// An exchange that refuses connections for this long while none is established counts as dead, and its calls as
+// dropped.
+constexpr Span kDeadAfterRefusals = Span::ms(1000);
+// If an exchange with established calls is silent, a new connection tests whether it is alive: a machine that has
+// vanished accepts none, and only this softswitch can notify the callers. The platform requires that within eight
+// seconds.
+constexpr Span kSilenceBeforeCheck = Span::ms(1500);
+constexpr Span kLivenessCheckInterval = Span::ms(800);
+constexpr Span kVanishedAfter = Span::ms(5000);
+// A release may be lost with the connection it was written to. If that connection ends within this time, which is a few
+// times the longest round trip, the release is repeated on another. kMaxSentReleases are kept for each connection.
+constexpr Span kReleaseRepeatWindow = Span::ms(1000);
+constexpr std::size_t kMaxSentReleases = 64;
 
 }  // namespace
 
-void Softswitch::notUp(Peer& peer, bool refused) {
-  ++counts_.notUp;
-  ++peer.untaken;
-  // Nobody answers: only where the directory says so too is the machine taken for gone this soon.
+void Softswitch::onConnectFailed(Peer& peer, bool refused) {
+  ++counters_.failedConnects;
+  ++peer.failedConnects;
+  // A timeout counts like a refusal only if the bulletin lists the exchange as gone too.
   if (!refused && peer.readiness != Readiness::gone) return;
-  const bool anyUp = std::any_of(peer.sides.begin(), peer.sides.end(), [](const auto& one) { return one->up; });
-  if (!anyUp) peer.refusedSince = std::min(peer.refusedSince, now_);
+  const bool anyConnected =
+      std::any_of(peer.connections.begin(), peer.connections.end(), [](const auto& one) { return one->connected; });
+  if (!anyConnected) peer.refusedSince = std::min(peer.refusedSince, now_);
 }
 
-/// An exchange without any connection is owed one: whoever holds most gives an idle one.
-bool Softswitch::makeRoomFor(const Peer& peer) {
-  if (!peer.sides.empty()) return false;
-  Peer* most = nullptr;
-  TrunkSide* spare = nullptr;
+// Makes room for the first connection to an exchange: the exchange with the most connections loses an idle one.
+bool Softswitch::evictIdleConnectionFor(const Peer& peer) {
+  if (!peer.connections.empty()) return false;
+  Peer* largest = nullptr;
+  TrunkConnection* evicted = nullptr;
   for (const auto& [id, listed] : registry_.all()) {
     auto& other = static_cast<Peer&>(*listed);
-    if (other.sides.size() < 2 || (most != nullptr && other.sides.size() <= most->sides.size())) continue;
-    const auto idle = std::find_if(other.sides.begin(), other.sides.end(),
-                                   [](const auto& side) { return side->ringing.empty() && !side->stream->unread(); });
-    if (idle == other.sides.end()) continue;
-    most = &other;
-    spare = idle->get();
+    if (other.connections.size() < 2 || (largest != nullptr && other.connections.size() <= largest->connections.size()))
+      continue;
+    const auto idle = std::find_if(other.connections.begin(), other.connections.end(), [](const auto& connection) {
+      return connection->invitedCalls.empty() && !connection->stream->hasUnreadData();
+    });
+    if (idle == other.connections.end()) continue;
+    largest = &other;
+    evicted = idle->get();
   }
-  if (spare == nullptr) return false;
-  lose(*spare, InviteOutcome::unreachable);
+  if (evicted == nullptr) return false;
+  dropConnection(*evicted, InviteOutcome::unreachable);
   return true;
 }
 
-TrunkSide* Softswitch::dial(Peer& peer) {
-  if (static_cast<double>(trunkCount_) >= kShareOfTrunks * deployment_.connections && !makeRoomFor(peer))
+TrunkConnection* Softswitch::openConnection(Peer& peer) {
+  if (static_cast<double>(trunkConnectionCount_) >= kTrunkShare * deployment_.maxConnections &&
+      !evictIdleConnectionFor(peer))
     return nullptr;
-  Stream* stream = dialler_->dial(peer.address);
+  Stream* stream = connector_->connect(peer.address);
   if (stream == nullptr) return nullptr;
-  ++counts_.dialled;
-  ++trunkCount_;
-  auto side = std::make_unique<TrunkSide>();
-  side->what = Side::What::trunk;
-  side->stream = stream;
-  side->peer = &peer;
-  side->dialled = side->heard = side->spokenTo = now_;
-  stream->kept = side.get();
-  peer.sides.push_back(std::move(side));
-  return peer.sides.back().get();
+  ++counters_.connectAttempts;
+  ++trunkConnectionCount_;
+  auto connection = std::make_unique<TrunkConnection>();
+  connection->type = Connection::Type::trunk;
+  connection->stream = stream;
+  connection->peer = &peer;
+  connection->connectStartedAt = connection->lastReceivedAt = connection->lastRequestAt = now_;
+  stream->userData = connection.get();
+  peer.connections.push_back(std::move(connection));
+  return peer.connections.back().get();
 }
 
-// The connection for a set-up: one without a set-up that spoke last, else a new one, else the one with the fewest.
-TrunkSide* Softswitch::sideFor(Peer& peer) {
-  if (peer.address == iax2::Address{}) return nullptr;  // another took its place
-  TrunkSide* best = nullptr;
-  for (const auto& side : peer.sides) {
-    // Where output waits nobody reads, and a set-up would go out at an instant that nobody chose.
-    if (!side->up || side->doubtful || !side->ringing.empty() || side->stream->unsent() > 0) continue;
-    if (best == nullptr || side->heard > best->heard) best = side.get();
+// Selects the connection for a set-up: of those that carry no set-up the one on which data was received last, otherwise
+// a new one, otherwise the one that carries the fewest set-ups.
+TrunkConnection* Softswitch::selectConnection(Peer& peer) {
+  if (peer.address == iax2::Address{}) return nullptr;  // another exchange has taken over the address
+  TrunkConnection* best = nullptr;
+  for (const auto& connection : peer.connections) {
+    // If output is queued, the exchange does not read, and the set-up would be sent at an unpredictable time.
+    if (!connection->connected || connection->suspect || !connection->invitedCalls.empty() ||
+        connection->stream->unsentBytes() > 0)
+      continue;
+    if (best == nullptr || connection->lastReceivedAt > best->lastReceivedAt) best = connection.get();
   }
   if (best != nullptr) return best;
-  if (peer.sides.size() < kSidesOfPeer) {
-    for (const auto& side : peer.sides) {
-      if (!side->up && side->ringing.empty()) return side.get();
+  if (peer.connections.size() < kMaxConnectionsPerPeer) {
+    for (const auto& connection : peer.connections) {
+      if (!connection->connected && connection->invitedCalls.empty()) return connection.get();
     }
-    if (TrunkSide* side = dial(peer)) return side;
+    if (TrunkConnection* connection = openConnection(peer)) return connection;
   }
-  for (const auto& side : peer.sides) {
-    if (side->doubtful) continue;
-    if (best == nullptr || side->ringing.size() < best->ringing.size()) best = side.get();
+  for (const auto& connection : peer.connections) {
+    if (connection->suspect) continue;
+    if (best == nullptr || connection->invitedCalls.size() < best->invitedCalls.size()) best = connection.get();
   }
   return best;
 }
 
-void Softswitch::write(TrunkSide& side, Call& call) {
-  // The description is kept: the module may send the call again.
-  const Fields fields = {{"class", deployment_.services[call.serviceAt]},
+void Softswitch::writeSetup(TrunkConnection& connection, Call& call) {
+  // The description is kept, as the controller may send the call to another exchange.
+  const Fields fields = {{"class", deployment_.services[call.serviceIndex]},
                          {"key", call.key},
-                         {"left", milliseconds(std::max(call.giveUp - now_, Span::ms(1)))}};
-  side.spokenTo = now_;
-  side.stream->send(writeMessage(Kind::setup, call.id, fields, -1, call.description));
+                         {"left", formatMilliseconds(std::max(call.giveUpAt - now_, Span::ms(1)))}};
+  connection.lastRequestAt = now_;
+  connection.stream->send(writeMessage(MessageKind::setup, call.id, fields, -1, call.description));
 }
 
 void Softswitch::invite(const Session& session, const Exchange& to, Span giveUpAfter) {
-  // Both are this softswitch's own; the module only reads them here.
+  // Both objects are owned by this softswitch; the interface is const because the controller only reads them.
   Call& call = const_cast<Call&>(static_cast<const Call&>(session));
   Peer& peer = const_cast<Peer&>(static_cast<const Peer&>(to));
-  ++counts_.invites;
+  ++counters_.invites;
   call.peer = &peer;
-  call.giveUp = std::min(now_ + giveUpAfter, call.timerLimit);
-  std::erase_if(peer.owed, [&](const auto& one) { return one.first == call.id; });
-  for (const auto& side : peer.sides) std::erase_if(side->told, [&](const Told& one) { return one.id == call.id; });
-  TrunkSide* side = sideFor(peer);
-  if (side == nullptr) {
-    // No descriptor is left and no connection stands, or nobody is there any more: it never left.
-    ++counts_.overBound;
-    events_.push_back([&call, &peer](Controller& controller) {
+  call.giveUpAt = std::min(now_ + giveUpAfter, call.timerLimit);
+  std::erase_if(peer.pendingReleases, [&](const auto& one) { return one.first == call.id; });
+  for (const auto& connection : peer.connections)
+    std::erase_if(connection->sentReleases, [&](const SentRelease& one) { return one.id == call.id; });
+  TrunkConnection* connection = selectConnection(peer);
+  if (connection == nullptr) {
+    // No connection exists and no file descriptor is left for one, or the exchange has no address any more.
+    ++counters_.limitHits;
+    queuedEvents_.push_back([&call, &peer](Controller& controller) {
       controller.inviteEnded(call, peer, InviteOutcome::notSent, BlockingReason::none, false, Span::none(), false);
     });
     return;
   }
-  call.state = Call::State::ringing;
-  call.trunk = side;
-  side->ringing.push_back(&call);
-  ringing_.push_back(&call);
-  if (side->up) write(*side, call);
+  call.state = Call::State::invited;
+  call.trunk = connection;
+  connection->invitedCalls.push_back(&call);
+  invitedCalls_.push_back(&call);
+  if (connection->connected) writeSetup(*connection, call);
 }
 
-void Softswitch::release(Peer& peer, TrunkSide* side, const std::string& id, int cause) {
-  if (side == nullptr || !side->up || side->stream == nullptr) {
-    side = nullptr;
-    for (const auto& one : peer.sides) {
-      if (!one->up || one->stream == nullptr) continue;
-      if (side == nullptr || std::pair(!one->doubtful, one->heard) > std::pair(!side->doubtful, side->heard))
-        side = one.get();
+void Softswitch::sendRelease(Peer& peer, TrunkConnection* connection, const std::string& id, int cause) {
+  if (connection == nullptr || !connection->connected || connection->stream == nullptr) {
+    connection = nullptr;
+    for (const auto& one : peer.connections) {
+      if (!one->connected || one->stream == nullptr) continue;
+      if (connection == nullptr ||
+          std::pair(!one->suspect, one->lastReceivedAt) > std::pair(!connection->suspect, connection->lastReceivedAt))
+        connection = one.get();
     }
   }
-  if (side != nullptr) return writeTo(*side, id, cause);
-  if (peer.owed.size() < kOver) peer.owed.emplace_back(id, cause);
+  if (connection != nullptr) return writeRelease(*connection, id, cause);
+  if (peer.pendingReleases.size() < kMaxStoredReleases) peer.pendingReleases.emplace_back(id, cause);
 }
 
-void Softswitch::writeTo(TrunkSide& side, const std::string& id, int cause) {
-  side.stream->send(writeMessage(Kind::release, id, {}, cause));
-  if (side.told.size() == kToldOfSide) side.told.erase(side.told.begin());
-  side.told.push_back({id, cause, now_});
+void Softswitch::writeRelease(TrunkConnection& connection, const std::string& id, int cause) {
+  connection.stream->send(writeMessage(MessageKind::release, id, {}, cause));
+  if (connection.sentReleases.size() == kMaxSentReleases)
+    connection.sentReleases.erase(connection.sentReleases.begin());
+  connection.sentReleases.push_back({id, cause, now_});
 }
 
-/// What waits for a connection and must not go out any more is the module's again: since it was sent its exchange was
-/// told of as leaving, as another process, or at no address.
-void Softswitch::takeBack(TrunkSide& side) {
-  const Peer& peer = *side.peer;
-  const bool leaving = peer.readiness != Readiness::ready || peer.address == iax2::Address{};
-  const auto waiting = side.ringing;
-  for (Call* call : waiting) {
-    if (!leaving && call->sentAt >= peer.anewAt) continue;
-    ++counts_.takenBack;
-    std::erase(side.ringing, call);
-    ended(*call, InviteOutcome::notSent);
+// Returns INVITEs that wait for their connection to the controller, as not sent, if the exchange was since reported as
+// draining or gone, was restarted or has lost its address.
+void Softswitch::withdrawInvites(TrunkConnection& connection) {
+  const Peer& peer = *connection.peer;
+  const bool hasLeft = peer.readiness != Readiness::ready || peer.address == iax2::Address{};
+  const auto waitingCalls = connection.invitedCalls;
+  for (Call* call : waitingCalls) {
+    if (!hasLeft && call->sentAt >= peer.restartedAt) continue;
+    ++counters_.withdrawnInvites;
+    std::erase(connection.invitedCalls, call);
+    endInvite(*call, InviteOutcome::notSent);
   }
 }
 
-void Softswitch::feedback(Peer& peer, const Message& message) {
+void Softswitch::onLoadReport(Peer& peer, const Message& message) {
   const auto load = message.field("load");
   if (!load) return;
-  std::optional<double> free, size, canTake;
-  for (const std::string& name : deployment_.reports) {
-    // The settings name them in their own words, messages in the bench's.
+  std::optional<double> free, size, capacity;
+  for (const std::string& name : deployment_.reportFields) {
+    // The configuration and the messages may name a figure differently.
     const bool isFree = name == "free" || name == "x0", isSize = name == "size" || name == "x1";
-    const bool isRoom = name == "can_take" || name == "qps";
-    auto text = figure(*load, name);
+    const bool isCapacity = name == "can_take" || name == "qps";
+    auto text = findFigure(*load, name);
     if (!text)
-      text = isFree ? figure(*load, "x0") : isSize ? figure(*load, "x1") : isRoom ? figure(*load, "qps") : text;
+      text = isFree       ? findFigure(*load, "x0")
+             : isSize     ? findFigure(*load, "x1")
+             : isCapacity ? findFigure(*load, "qps")
+                          : text;
     if (!text) continue;
     const auto value = readNumber(*text);
     if (!value || *value < 0) continue;
     if (isFree) free = value;
     if (isSize) size = value;
-    if (isRoom) canTake = value;
+    if (isCapacity) capacity = value;
   }
-  if (!(size || canTake)) return;
-  events_.push_back([&peer, free, size, canTake](Controller& to) {
+  if (!(size || capacity)) return;
+  queuedEvents_.push_back([&peer, free, size, capacity](Controller& to) {
     if (size) to.circuitsChanged(peer, free.value_or(0), *size);
-    if (canTake) to.capacityReported(peer, *canTake);
+    if (capacity) to.capacityReported(peer, *capacity);
   });
 }
 
-void Softswitch::fromExchange(TrunkSide& side, std::string_view line) {
+void Softswitch::onExchangeMessage(TrunkConnection& connection, std::string_view line) {
   const auto message = readMessage(line);
   if (!message) {
-    ++counts_.spoilt;
-    return lose(side, InviteOutcome::reset);
+    ++counters_.invalidFromExchanges;
+    return dropConnection(connection, InviteOutcome::reset);
   }
-  side.heard = side.peer->alive = now_;
-  side.peer->untaken = 0;
-  side.doubtful = false;
-  feedback(*side.peer, *message);
-  if (message->kind == Kind::released) std::erase_if(side.told, [&](const Told& one) { return one.id == message->id; });
-  if (message->kind != Kind::answer && message->kind != Kind::release) return;
+  connection.lastReceivedAt = connection.peer->lastAliveAt = now_;
+  connection.peer->failedConnects = 0;
+  connection.suspect = false;
+  onLoadReport(*connection.peer, *message);
+  if (message->kind == MessageKind::released)
+    std::erase_if(connection.sentReleases, [&](const SentRelease& one) { return one.id == message->id; });
+  if (message->kind != MessageKind::answer && message->kind != MessageKind::release) return;
   const auto it = calls_.find(message->id);
   Call* call = it == calls_.end() ? nullptr : it->second.get();
-  if (call == nullptr || call->state == Call::State::done) {
-    if (call == nullptr && message->kind == Kind::release && overUnknown_.size() < kOver) {
-      overUnknown_.push_back({message->id, now_, message->cause.value_or(kFailed)});
+  if (call == nullptr || call->state == Call::State::finished) {
+    if (call == nullptr && message->kind == MessageKind::release && unmatchedReleases_.size() < kMaxStoredReleases) {
+      unmatchedReleases_.push_back({message->id, now_, message->cause.value_or(kCauseTemporaryFailure)});
     }
     return;
   }
-  const bool ringsHere = call->state == Call::State::ringing && call->trunk == &side;
-  const bool standsHere = call->state == Call::State::standing && call->peer == side.peer;
-  if (message->kind == Kind::answer) {
-    if (!ringsHere) return;  // a copy, or another's
+  const bool isInvitedHere = call->state == Call::State::invited && call->trunk == &connection;
+  const bool isEstablishedHere = call->state == Call::State::established && call->peer == connection.peer;
+  if (message->kind == MessageKind::answer) {
+    if (!isInvitedHere) return;  // a duplicate, or not for a call on this connection
     if (message->description.empty()) {
-      ++counts_.spoilt;
-      return lose(side, InviteOutcome::reset);
+      ++counters_.invalidFromExchanges;
+      return dropConnection(connection, InviteOutcome::reset);
     }
-    return answeredBy(side, *call, message->description);
+    return onAnswer(connection, *call, message->description);
   }
-  if (ringsHere) return releasedBy(side, *call, *message);
-  if (standsHere) {
-    const int cause = message->cause.value_or(kFailed);
-    over(*call, cause == kNormal ? InviteOutcome::released : InviteOutcome::reset, cause);
+  if (isInvitedHere) return onInviteRejected(connection, *call, *message);
+  if (isEstablishedHere) {
+    const int cause = message->cause.value_or(kCauseTemporaryFailure);
+    endEstablishedCall(*call, cause == kCauseNormalClearing ? InviteOutcome::released : InviteOutcome::reset, cause);
   }
 }
 
-void Softswitch::answeredBy(TrunkSide& side, Call& call, const std::string& description) {
-  ++counts_.answered;
-  std::erase(side.ringing, &call);
-  std::erase(ringing_, &call);
+void Softswitch::onAnswer(TrunkConnection& connection, Call& call, const std::string& description) {
+  ++counters_.answered;
+  std::erase(connection.invitedCalls, &call);
+  std::erase(invitedCalls_, &call);
   call.trunk = nullptr;
-  call.state = Call::State::standing;
-  call.stoodAt = now_;
+  call.state = Call::State::established;
+  call.establishedAt = now_;
   dropDescription(call);
-  call.peer->standing.push_back(&call);
-  --openCalls_;
+  call.peer->establishedCalls.push_back(&call);
+  --pendingSetups_;
   if (call.caller != nullptr) {
-    --call.caller->open;
-    call.caller->trusted = true;
-    call.caller->spoke = now_;
-    call.caller->stream->send(writeMessage(Kind::answer, call.id, {}, -1, description));
+    --call.caller->pendingSetups;
+    call.caller->hadEstablishedCall = true;
+    call.caller->lastMessageAt = now_;
+    call.caller->stream->send(writeMessage(MessageKind::answer, call.id, {}, -1, description));
   }
-  events_.push_back([&call, delay = now_ - call.sentAt](Controller& to) { to.inviteAccepted(call, delay); });
+  queuedEvents_.push_back([&call, delay = now_ - call.sentAt](Controller& to) { to.inviteAccepted(call, delay); });
 }
 
-void Softswitch::releasedBy(TrunkSide& side, Call& call, const Message& message) {
-  std::erase(side.ringing, &call);
-  const int cause = message.cause.value_or(kFailed);
+void Softswitch::onInviteRejected(TrunkConnection& connection, Call& call, const Message& message) {
+  std::erase(connection.invitedCalls, &call);
+  const int cause = message.cause.value_or(kCauseTemporaryFailure);
   const std::string_view note = message.field("note").value_or("");
   const BlockingReason reason = note == "atb"                     ? BlockingReason::noCircuit
                                 : note == "rtb" || note == "racc" ? BlockingReason::turnedBack
                                 : note == "acc"                   ? BlockingReason::processorFull
                                 : note == "sub"                   ? BlockingReason::lineBusy
                                                                   : BlockingReason::none;
-  const double waited = readNumber(message.field("waited").value_or("0")).value_or(0);
-  const Span toldWait =
-      reason == BlockingReason::processorFull ? Span::ms(std::clamp(waited, 0.0, 60000.0)) : Span::none();
-  const InviteOutcome ending = cause == 34                  ? InviteOutcome::overloaded
-                               : cause == 17 || cause == 47 ? InviteOutcome::failed
-                               : cause == 102               ? InviteOutcome::notSent
-                                                            : InviteOutcome::reset;
-  ended(call, ending, reason, note == "racc", toldWait);
+  const double waitedMs = readNumber(message.field("waited").value_or("0")).value_or(0);
+  const Span reportedWait =
+      reason == BlockingReason::processorFull ? Span::ms(std::clamp(waitedMs, 0.0, 60000.0)) : Span::none();
+  const InviteOutcome outcome = cause == 34                  ? InviteOutcome::overloaded
+                                : cause == 17 || cause == 47 ? InviteOutcome::failed
+                                : cause == 102               ? InviteOutcome::notSent
+                                                             : InviteOutcome::reset;
+  endInvite(call, outcome, reason, note == "racc", reportedWait);
 }
 
-/// An INVITE that is out has ended without an answer; the final answer is the module's to give.
-void Softswitch::ended(Call& call, InviteOutcome ending, BlockingReason reason, bool farProcessor, Span toldWait) {
-  std::erase(ringing_, &call);
+// Ends an INVITE that was not answered. The controller decides on the final answer to the caller.
+void Softswitch::endInvite(Call& call, InviteOutcome outcome, BlockingReason reason, bool farProcessor,
+                           Span reportedWait) {
+  std::erase(invitedCalls_, &call);
   call.trunk = nullptr;
-  call.state = Call::State::open;
-  events_.push_back([&call, at = call.peer, ending, reason, farProcessor, toldWait](Controller& to) {
-    to.inviteEnded(call, *at, ending, reason, farProcessor, toldWait, false);
+  call.state = Call::State::unrouted;
+  queuedEvents_.push_back([&call, peer = call.peer, outcome, reason, farProcessor, reportedWait](Controller& to) {
+    to.inviteEnded(call, *peer, outcome, reason, farProcessor, reportedWait, false);
   });
 }
 
-/// A call that stood is over.
-void Softswitch::over(Call& call, InviteOutcome ending, int cause) {
-  if (ending != InviteOutcome::released) ++counts_.cut;
-  tellCaller(call, cause);
-  std::erase(call.peer->standing, &call);
-  if (call.ofModule) {
-    events_.push_back([&call, at = call.peer, ending](Controller& to) {
-      to.inviteEnded(call, *at, ending, BlockingReason::none, false, Span::none(), true);
+// Ends an established call and notifies its caller.
+void Softswitch::endEstablishedCall(Call& call, InviteOutcome outcome, int cause) {
+  if (outcome != InviteOutcome::released) ++counters_.droppedCalls;
+  notifyCaller(call, cause);
+  std::erase(call.peer->establishedCalls, &call);
+  if (call.knownToController) {
+    queuedEvents_.push_back([&call, peer = call.peer, outcome](Controller& to) {
+      to.inviteEnded(call, *peer, outcome, BlockingReason::none, false, Span::none(), true);
     });
   }
-  call.state = Call::State::done;
+  call.state = Call::State::finished;
   call.caller = nullptr;
-  finished_.push_back(call.id);
+  finishedCallIds_.push_back(call.id);
 }
 
-/// A connection to an exchange is no more. What was written to it may have run, what was not has not.
-void Softswitch::lose(TrunkSide& side, InviteOutcome unsent) {
-  Peer& peer = *side.peer;
-  const bool wasUp = side.up;
-  side.up = false;
-  if (side.stream != nullptr) side.stream->end();
-  side.stream = nullptr;
-  const auto ringing = std::move(side.ringing);
-  side.ringing.clear();
-  for (const Told& one : side.told) {
-    if (now_ - one.at < kToldAgain) release(peer, nullptr, one.id, one.cause);
+// Closes a connection to an exchange, or removes one that has ended. Set-ups that were written to it may have been
+// executed; those that were not end with `outcomeIfUnsent`.
+void Softswitch::dropConnection(TrunkConnection& connection, InviteOutcome outcomeIfUnsent) {
+  Peer& peer = *connection.peer;
+  const bool wasConnected = connection.connected;
+  connection.connected = false;
+  if (connection.stream != nullptr) connection.stream->close();
+  connection.stream = nullptr;
+  const auto invitedCalls = std::move(connection.invitedCalls);
+  connection.invitedCalls.clear();
+  for (const SentRelease& one : connection.sentReleases) {
+    if (now_ - one.sentAt < kReleaseRepeatWindow) sendRelease(peer, nullptr, one.id, one.cause);
   }
-  for (Call* call : ringing) {
-    if (wasUp) release(peer, nullptr, call->id, kNormal);
-    ended(*call, wasUp ? InviteOutcome::reset : unsent);
+  for (Call* call : invitedCalls) {
+    if (wasConnected) sendRelease(peer, nullptr, call->id, kCauseNormalClearing);
+    endInvite(*call, wasConnected ? InviteOutcome::reset : outcomeIfUnsent);
   }
-  --trunkCount_;
-  peer.nextDial = now_ + peer.redial;
-  if (!wasUp) peer.redial = std::min(peer.redial * 2.0, kRedialLast);
-  const auto it =
-      std::find_if(peer.sides.begin(), peer.sides.end(), [&](const auto& one) { return one.get() == &side; });
-  dead_.push_back(std::move(*it));
-  peer.sides.erase(it);
+  --trunkConnectionCount_;
+  peer.nextConnectAt = now_ + peer.backoff;
+  if (!wasConnected) peer.backoff = std::min(peer.backoff * 2.0, kMaxBackoff);
+  const auto it = std::find_if(peer.connections.begin(), peer.connections.end(),
+                               [&](const auto& one) { return one.get() == &connection; });
+  closedConnections_.push_back(std::move(*it));
+  peer.connections.erase(it);
 }
 
-/// The process of an exchange is no more: what stood there is over, and there is nobody to tell.
-void Softswitch::leave(Peer& peer) {
-  cutStanding(peer, Instant::never());
-  peer.owed.clear();
-  while (!peer.sides.empty()) lose(*peer.sides.back(), InviteOutcome::unreachable);
-  peer.owed.clear();
+// Removes an exchange whose process no longer exists: its calls are dropped, and no release is sent to it.
+void Softswitch::retirePeer(Peer& peer) {
+  dropEstablishedCalls(peer, Instant::never());
+  peer.pendingReleases.clear();
+  while (!peer.connections.empty()) dropConnection(*peer.connections.back(), InviteOutcome::unreachable);
+  peer.pendingReleases.clear();
   peer.address = {};
 }
 
-void Softswitch::cutStanding(Peer& peer, Instant before) {
-  const auto standing = peer.standing;
-  for (Call* call : standing) {
-    if (call->stoodAt >= before) continue;
-    release(peer, nullptr, call->id, kNormal);  // should it stand there all the same
-    over(*call, InviteOutcome::reset, kFailed);
+void Softswitch::dropEstablishedCalls(Peer& peer, Instant before) {
+  const auto establishedCalls = peer.establishedCalls;
+  for (Call* call : establishedCalls) {
+    if (call->establishedAt >= before) continue;
+    sendRelease(peer, nullptr, call->id, kCauseNormalClearing);  // in case the call is still established there
+    endEstablishedCall(*call, InviteOutcome::reset, kCauseTemporaryFailure);
   }
 }
 
-void Softswitch::keepSides() {
+void Softswitch::maintainTrunks() {
   for (const auto& [id, listed] : registry_.all()) {
     auto& peer = static_cast<Peer&>(*listed);
     if (peer.own) continue;
-    for (std::size_t i = peer.sides.size(); i-- > 0;) {
-      TrunkSide& side = *peer.sides[i];
-      if (!side.up) takeBack(side);
-      if (!side.up && now_ - side.dialled > deployment_.connectWithin) {
-        notUp(peer, false);
-        lose(side, InviteOutcome::unreachable);
-      } else if (side.doubtful && side.ringing.empty() && now_ - side.spokenTo > kDoubtful) {
-        lose(side, InviteOutcome::unreachable);
-        peer.nextDial = now_;
-      } else if (side.up && side.ringing.empty() && peer.sides.size() > kSpareTrunks &&
-                 now_ - side.heard > kIdleTrunk) {
-        lose(side, InviteOutcome::unreachable);
+    for (std::size_t i = peer.connections.size(); i-- > 0;) {
+      TrunkConnection& connection = *peer.connections[i];
+      if (!connection.connected) withdrawInvites(connection);
+      if (!connection.connected && now_ - connection.connectStartedAt > deployment_.connectTimeout) {
+        onConnectFailed(peer, false);
+        dropConnection(connection, InviteOutcome::unreachable);
+      } else if (connection.suspect && connection.invitedCalls.empty() &&
+                 now_ - connection.lastRequestAt > kSuspectTimeout) {
+        dropConnection(connection, InviteOutcome::unreachable);
+        peer.nextConnectAt = now_;
+      } else if (connection.connected && connection.invitedCalls.empty() &&
+                 peer.connections.size() > kSpareTrunkConnections &&
+                 now_ - connection.lastReceivedAt > kTrunkIdleTimeout) {
+        dropConnection(connection, InviteOutcome::unreachable);
       }
     }
-    if (peer.refusedSince != Instant::never() && now_ - peer.refusedSince > kDeadAfter)
-      cutStanding(peer, Instant::never());
+    if (peer.refusedSince != Instant::never() && now_ - peer.refusedSince > kDeadAfterRefusals)
+      dropEstablishedCalls(peer, Instant::never());
     if (peer.address == iax2::Address{}) continue;
-    const Span quiet = now_ - peer.alive;
-    if (!peer.standing.empty() && quiet > kQuiet && now_ - peer.triedAt > kTryEvery) {
-      peer.triedAt = now_;
-      if (peer.sides.size() < kSidesOfPeer) dial(peer);
+    const Span silence = now_ - peer.lastAliveAt;
+    if (!peer.establishedCalls.empty() && silence > kSilenceBeforeCheck &&
+        now_ - peer.livenessCheckedAt > kLivenessCheckInterval) {
+      peer.livenessCheckedAt = now_;
+      if (peer.connections.size() < kMaxConnectionsPerPeer) openConnection(peer);
     }
-    if (quiet > kVanished && peer.untaken >= 2) cutStanding(peer, Instant::never());
-    const bool wanted = peer.readiness == Readiness::ready || !peer.standing.empty() || !peer.owed.empty();
-    const bool usable =
-        std::any_of(peer.sides.begin(), peer.sides.end(), [](const auto& side) { return !side->doubtful; });
-    if (wanted && !usable && peer.sides.size() < kSidesOfPeer && peer.nextDial <= now_) dial(peer);
-    if (peer.readiness == Readiness::gone && peer.standing.empty()) {
-      peer.owed.clear();
-      for (std::size_t i = peer.sides.size(); i-- > 0;) {
-        if (peer.sides[i]->ringing.empty()) lose(*peer.sides[i], InviteOutcome::unreachable);
+    if (silence > kVanishedAfter && peer.failedConnects >= 2) dropEstablishedCalls(peer, Instant::never());
+    const bool isWanted =
+        peer.readiness == Readiness::ready || !peer.establishedCalls.empty() || !peer.pendingReleases.empty();
+    const bool hasUsable = std::any_of(peer.connections.begin(), peer.connections.end(),
+                                       [](const auto& connection) { return !connection->suspect; });
+    if (isWanted && !hasUsable && peer.connections.size() < kMaxConnectionsPerPeer && peer.nextConnectAt <= now_)
+      openConnection(peer);
+    if (peer.readiness == Readiness::gone && peer.establishedCalls.empty()) {
+      peer.pendingReleases.clear();
+      for (std::size_t i = peer.connections.size(); i-- > 0;) {
+        if (peer.connections[i]->invitedCalls.empty()) dropConnection(*peer.connections[i], InviteOutcome::unreachable);
       }
     }
   }
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -27,15 +27,15 @@
 }
 
 std::optional<Message> readMessage(std::string_view line) {
-  // Iterative, so that no nesting fills the stack; numbers stay as they were written.
+  // The parser is iterative so that deep nesting can't overflow the stack. Numbers keep the text they were written with.
   constexpr unsigned kFlags =
       rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag | rapidjson::kParseNumbersAsStringsFlag;
-  rapidjson::Document read;
-  read.Parse<kFlags>(line.data(), line.size());
-  if (read.HasParseError() || !read.IsObject()) return std::nullopt;
+  rapidjson::Document parsed;
+  parsed.Parse<kFlags>(line.data(), line.size());
+  if (parsed.HasParseError() || !parsed.IsObject()) return std::nullopt;
   Message message;
-  bool typed = false;
-  for (const auto& member : read.GetObject()) {
+  bool hasType = false;
+  for (const auto& member : parsed.GetObject()) {
     const std::string_view name = text(member.name);
     const auto& value = member.value;
     if (name == "fields") {
@@ -48,52 +48,52 @@
     }
     if (name != "type" && name != "id" && name != "sdp" && name != "cause") continue;
     if (!value.IsString()) return std::nullopt;
-    const std::string_view word = text(value);
+    const std::string_view content = text(value);
     if (name == "type") {
-      typed = true;
-      const auto kind = std::find(kKinds.begin(), kKinds.end(), word);
-      message.kind = static_cast<Kind>(kind - kKinds.begin());
+      hasType = true;
+      const auto kind = std::find(kKinds.begin(), kKinds.end(), content);
+      message.kind = static_cast<MessageKind>(kind - kKinds.begin());
     } else if (name == "id") {
-      if (word.size() != 16 || !readHex(word)) return std::nullopt;
-      message.id = word;
+      if (content.size() != 16 || !readHex(content)) return std::nullopt;
+      message.id = content;
     } else if (name == "sdp") {
-      message.description = word;
+      message.description = content;
     } else {
-      const auto cause = readNumber(word);
+      const auto cause = readNumber(content);
       if (!cause || *cause < 0 || *cause > 127 || *cause != std::floor(*cause)) return std::nullopt;
       message.cause = static_cast<int>(*cause);
     }
   }
-  if (!typed) return std::nullopt;
+  if (!hasType) return std::nullopt;
   return message;
 }
 
-std::string writeMessage(Kind kind, std::string_view id, const Fields& fields, int cause,
+std::string writeMessage(MessageKind kind, std::string_view id, const Fields& fields, int cause,
                          std::string_view description) {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> json(out);
-  const auto put = [&](std::string_view value) {
+  const auto writeString = [&](std::string_view value) {
     json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
   json.StartObject();
-  put("type");
-  put(kKinds[static_cast<std::size_t>(kind)]);
-  put("id");
-  put(id);
-  put("fields");
+  writeString("type");
+  writeString(kKinds[static_cast<std::size_t>(kind)]);
+  writeString("id");
+  writeString(id);
+  writeString("fields");
   json.StartObject();
   for (const auto& [name, value] : fields) {
-    put(name);
-    put(value);
+    writeString(name);
+    writeString(value);
   }
   json.EndObject();
   if (cause >= 0) {
-    put("cause");
+    writeString("cause");
     json.Int(cause);
   }
   if (!description.empty()) {
-    put("sdp");
-    put(description);
+    writeString("sdp");
+    writeString(description);
   }
   json.EndObject();
   out.Put('\n');
@@ -102,19 +102,19 @@
 
 std::optional<double> readNumber(std::string_view text) {
   double value = 0;
-  const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (read.ec != std::errc() || read.ptr != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-std::string milliseconds(Span span) { return std::to_string(static_cast<long long>(std::llround(span.ms()))); }
+std::string formatMilliseconds(Span span) { return std::to_string(static_cast<long long>(std::llround(span.ms()))); }
 
-std::optional<std::string_view> figure(std::string_view figures, std::string_view name) {
+std::optional<std::string_view> findFigure(std::string_view figures, std::string_view name) {
   while (!figures.empty()) {
     const auto end = std::min(figures.find(';'), figures.size());
-    const std::string_view one = figures.substr(0, end);
-    const auto colon = one.find(':');
-    if (colon != std::string_view::npos && one.substr(0, colon) == name) return one.substr(colon + 1);
+    const std::string_view entry = figures.substr(0, end);
+    const auto colon = entry.find(':');
+    if (colon != std::string_view::npos && entry.substr(0, colon) == name) return entry.substr(colon + 1);
     figures.remove_prefix(std::min(end + 1, figures.size()));
   }
   return std::nullopt;
@@ -122,8 +122,8 @@
 
 std::optional<std::uint64_t> readHex(std::string_view text) {
   std::uint64_t value = 0;
-  const auto read = std::from_chars(text.data(), text.data() + text.size(), value, 16);
-  if (text.size() > 16 || read.ec != std::errc() || read.ptr != text.data() + text.size()) return std::nullopt;
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value, 16);
+  if (text.size() > 16 || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
@@ -134,21 +134,21 @@
   return static_cast<std::uint32_t>(*id);
 }
 
-bool Lines::add(std::string_view bytes) {
-  waiting_.erase(0, at_);
-  at_ = 0;
-  waiting_.append(bytes);
-  // A whole line that is too long is found when it is asked for; here only what has not ended yet counts.
-  const auto last = waiting_.rfind('\n');
-  const std::size_t open = waiting_.size() - (last == std::string::npos ? 0 : last + 1);
-  return open <= kLongestMessage;
+bool LineReader::add(std::string_view bytes) {
+  buffer_.erase(0, position_);
+  position_ = 0;
+  buffer_.append(bytes);
+  // Only the unterminated line is checked here. A complete line that is too long is detected when it is read.
+  const auto last = buffer_.rfind('\n');
+  const std::size_t partial = buffer_.size() - (last == std::string::npos ? 0 : last + 1);
+  return partial <= kMaxMessageBytes;
 }
 
-std::optional<std::string_view> Lines::next() {
-  const auto end = waiting_.find('\n', at_);
+std::optional<std::string_view> LineReader::next() {
+  const auto end = buffer_.find('\n', position_);
   if (end == std::string::npos) return std::nullopt;
-  const std::string_view line = std::string_view(waiting_).substr(at_, end - at_);
-  at_ = end + 1;
+  const std::string_view line = std::string_view(buffer_).substr(position_, end - position_);
+  position_ = end + 1;
   return line;
 }
 
--- a/src/platform/message.hpp
+++ b/src/platform/message.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The platform's message lines: one JSON object a line, ended by a line feed. A codec; decides nothing.
+// Codec of the platform's signalling messages: one JSON object per line, terminated by a line feed. Makes no decisions.
 
 #include <cstdint>
 #include <optional>
@@ -13,56 +13,59 @@
 
 namespace thistlefold::platform {
 
-/// The most that a message may hold, its line feed not counted. Beyond it the stream can't be read any more.
-constexpr std::size_t kLongestMessage = 16 * 1024;
+/// Maximum length of a message without its line feed. A stream with a longer line is treated as unreadable.
+constexpr std::size_t kMaxMessageBytes = 16 * 1024;
 
-enum class Kind { setup, progress, answer, release, released, ping, pong, state, other };
+/// The `type` of a message. `other` stands for every type that is not listed.
+enum class MessageKind { setup, progress, answer, release, released, ping, pong, state, other };
 
-/// One message as it came. `id` is empty where none was given; every other id has 16 hex digits.
+/// A decoded message.
 struct Message {
-  Kind kind = Kind::other;
-  std::string id;
-  std::optional<int> cause;
-  std::string description;                                  // empty: none
-  std::vector<std::pair<std::string, std::string>> fields;  // numbers as they were written
+  MessageKind kind = MessageKind::other;
+  std::string id;                                           ///< call id, 16 hex digits; empty: the message has none
+  std::optional<int> cause;                                 ///< release cause, 0 to 127
+  std::string description;                                  ///< session description (`sdp`); empty: none
+  std::vector<std::pair<std::string, std::string>> fields;  ///< name and value, numbers as they were written
 
-  /// Nothing if the field is not there.
+  /// The value of the field; nullopt if it is absent.
   std::optional<std::string_view> field(std::string_view name) const;
 };
 
-/// Nothing for what is no message: no JSON object, no type, an id or a field of another form.
+/// Decodes a line. Returns nullopt unless it is a JSON object with a type and with id, cause, description and fields of
+/// the expected form.
 std::optional<Message> readMessage(std::string_view line);
 
 using Fields = std::vector<std::pair<std::string_view, std::string>>;
-/// The line, with its line feed. Cause below zero: none. Empty description: none.
-std::string writeMessage(Kind kind, std::string_view id, const Fields& fields, int cause = -1,
+/// Encodes a message as a line with its line feed. A negative cause or an empty description is left out.
+std::string writeMessage(MessageKind kind, std::string_view id, const Fields& fields, int cause = -1,
                          std::string_view description = {});
 
-/// Nothing unless all of the text is a finite number.
+/// Returns nullopt unless the whole text is a finite number.
 std::optional<double> readNumber(std::string_view text);
-/// Milliseconds as text, rounded to whole ones.
-std::string milliseconds(Span span);
-/// One figure of a text as in "x0:12;x1:40": that of `name`; nothing if it is not there or no number.
-std::optional<std::string_view> figure(std::string_view figures, std::string_view name);
+/// Milliseconds as decimal text, rounded to the nearest integer.
+std::string formatMilliseconds(Span span);
+/// The value of `name` in a list of figures such as "x0:12;x1:40"; nullopt if the list has no such figure.
+std::optional<std::string_view> findFigure(std::string_view figures, std::string_view name);
 
-/// One to sixteen hex digits and nothing else.
+/// Returns nullopt unless the text is one to sixteen hex digits.
 std::optional<std::uint64_t> readHex(std::string_view text);
-/// "s-00c41f7a"; nothing for another form.
+/// Reads an exchange id such as "s-00c41f7a"; nullopt if the text has another form.
 std::optional<std::uint32_t> readExchangeId(std::string_view text);
 
-/// Cuts what comes in into lines. At the bound the stream counts as unreadable.
-class Lines {
+/// Splits the bytes of one connection into lines.
+class LineReader {
  public:
-  /// Takes bytes; false once a message is longer than the longest.
+  /// Appends received bytes. Returns false once an unterminated line is longer than kMaxMessageBytes.
   bool add(std::string_view bytes);
-  /// The next whole line without its line feed; nothing if none is there. Valid until the next call.
+  /// The next complete line without its line feed, of any length; nullopt if there is none. Valid until the next call
+  /// of add().
   std::optional<std::string_view> next();
-  /// Part of a line is waiting for its rest.
-  bool broken() const { return at_ < waiting_.size(); }
+  /// True if bytes wait that next() has not returned, such as a line without its line feed.
+  bool hasPartialLine() const { return position_ < buffer_.size(); }
 
  private:
-  std::string waiting_;
-  std::size_t at_ = 0;
+  std::string buffer_;
+  std::size_t position_ = 0;
 };
 
 }  // namespace thistlefold::platform
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -7,214 +7,223 @@
 namespace thistlefold::platform {
 namespace {
 
-// What may wait to go out to one caller.
-constexpr std::size_t kUnsent = 64 * 1024;
-// The bulletin sends an empty frame each second. What it would have told counts as told four seconds after it stopped
-// and two after a break; within that each office asks again at an instant of its own, as all of them lose it at once.
-constexpr Span kBulletinSilent = Span::ms(1600);
-constexpr Span kSpread = Span::ms(400);
-constexpr Span kRedialBulletin = Span::ms(100);
-constexpr Span kRedialBulletinLast = Span::ms(300);
-// How often connections are looked after.
-constexpr Span kKeeping = Span::ms(20);
-// A planned restart. SIGKILL comes no sooner than the longest limit, three seconds at most, and 0.7 s more after
-// SIGTERM; until shortly before, calls in transit are carried on, so other offices keep their tandem.
-constexpr Span kLongestLeave = Span::ms(3000);
-constexpr Span kLeaveSpare = Span::ms(400);  // over that limit; the rest is for the last answers to go out
-
-constexpr int kRefused = 34;
+// A caller that leaves more than this unread is closed.
+constexpr std::size_t kMaxUnsentBytes = 64 * 1024;
+// The bulletin sends an empty frame each second. The platform holds an office to what the bulletin would have reported
+// from four seconds after it fell silent and two seconds after a broken connection. Within that time each office
+// subscribes again after a random delay, since all offices lose the bulletin at once.
+constexpr Span kBulletinTimeout = Span::ms(1600);
+constexpr Span kSubscribeJitter = Span::ms(400);
+constexpr Span kBulletinBackoff = Span::ms(100);
+constexpr Span kMaxBulletinBackoff = Span::ms(300);
+// Interval of the checks on connections.
+constexpr Span kMaintenanceInterval = Span::ms(20);
+// A planned restart. After SIGTERM, SIGKILL follows no sooner than the longest timer limit (three seconds at most) plus
+// 0.7 s. Until shortly before, calls in transit are still carried, so that other offices keep their tandem.
+constexpr Span kMaxDrainTime = Span::ms(3000);
+constexpr Span kDrainMargin =
+    Span::ms(400);  // beyond the limit; the rest of the 0.7 s is for the delivery of the last answers
+
+constexpr int kCauseNoCircuit = 34;  // release cause of a set-up that is refused as busy
 
 }  // namespace
 
-struct Softswitch::Bulletin : Side {
-  Frames frames;
-  bool lost = false;  // since it was told of
-  std::uint64_t last = 0;
-  std::optional<std::uint64_t> gapAfter;  // the last event when one was found missing
-  Instant nextDial = Instant::longAgo();
-  Span redial = kRedialBulletin;
-  Instant silentAt = Instant::never();
+// The subscription to the bulletin.
+struct Softswitch::Bulletin : Connection {
+  FrameReader reader;
+  bool disconnected = false;              // and this was logged
+  std::uint64_t lastEvent = 0;            // number of the last event applied
+  std::optional<std::uint64_t> gapAfter;  // lastEvent when an event was last found missing
+  Instant nextConnectAt = Instant::longAgo();
+  Span backoff = kBulletinBackoff;
+  Instant timeoutAt = Instant::never();  // subscribe again if nothing is received until then
 };
 
-Softswitch::Softswitch(Deployment deployment, Instant now, Dialler& dialler, const ControllerFactory& open,
-                       std::function<void(std::string_view)> tell)
+Softswitch::Softswitch(Deployment deployment, Instant now, StreamConnector& connector,
+                       const ControllerFactory& controllerFactory, std::function<void(std::string_view)> log)
     : deployment_(std::move(deployment)),
-      dialler_(&dialler),
-      tell_(std::move(tell)),
-      controller_(open(deployment_.data, deployment_.seed)),
-      registry_(deployment_.here, [] { return std::make_unique<Peer>(); }),
+      connector_(&connector),
+      log_(std::move(log)),
+      controller_(controllerFactory(deployment_.officeConfig, deployment_.seed)),
+      registry_(deployment_.ownPlace, [] { return std::make_unique<Peer>(); }),
       bulletin_(std::make_unique<Bulletin>()),
-      chance_(static_cast<std::ranlux24_base::result_type>(deployment_.seed ^ (deployment_.seed >> 24))),
+      random_(static_cast<std::ranlux24_base::result_type>(deployment_.seed ^ (deployment_.seed >> 24))),
       now_(now) {
-  bulletin_->what = Side::What::bulletin;
-  askBulletinWithin(kSpread * 0.5);
-  apply(deployment_.known);
+  bulletin_->type = Connection::Type::bulletin;
+  scheduleSubscription(kSubscribeJitter * 0.5);
+  applyEvents(deployment_.knownEvents);
 }
 
 Softswitch::~Softswitch() = default;
 
 // ---- Streams --------------------------------------------------------------------------------------------------------
 
-void Softswitch::up(Instant now, Stream& stream) {
+void Softswitch::onConnected(Instant now, Stream& stream) {
   now_ = now;
-  Side& side = *static_cast<Side*>(stream.kept);
-  if (side.what == Side::What::bulletin) {
-    if (bulletin_->lost) tell_("bulletin " + iax2::text(deployment_.bulletin) + ": connected again");
-    bulletin_->lost = false;
-    bulletin_->redial = kRedialBulletin;
-    bulletin_->silentAt = now + kBulletinSilent + kSpread * chance();
-    ++counts_.asked;
-    return stream.send(askAfter(bulletin_->last));
+  Connection& connection = *static_cast<Connection*>(stream.userData);
+  if (connection.type == Connection::Type::bulletin) {
+    if (bulletin_->disconnected) log_("bulletin " + iax2::text(deployment_.bulletinAddress) + ": connected again");
+    bulletin_->disconnected = false;
+    bulletin_->backoff = kBulletinBackoff;
+    bulletin_->timeoutAt = now + kBulletinTimeout + kSubscribeJitter * randomFraction();
+    ++counters_.subscriptions;
+    return stream.send(encodeSubscription(bulletin_->lastEvent));
   }
-  auto& trunk = static_cast<TrunkSide&>(side);
-  trunk.up = true;
-  trunk.heard = now;
+  auto& trunk = static_cast<TrunkConnection&>(connection);
+  trunk.connected = true;
+  trunk.lastReceivedAt = now;
   Peer& peer = *trunk.peer;
-  peer.redial = kRedialFirst;
+  peer.backoff = kInitialBackoff;
   peer.refusedSince = Instant::never();
-  peer.alive = now;
-  peer.untaken = 0;
-  for (const auto& [id, cause] : std::exchange(peer.owed, {})) writeTo(trunk, id, cause);
-  takeBack(trunk);
-  const auto ringing = trunk.ringing;
-  for (Call* call : ringing) write(trunk, *call);
+  peer.lastAliveAt = now;
+  peer.failedConnects = 0;
+  for (const auto& [id, cause] : std::exchange(peer.pendingReleases, {})) writeRelease(trunk, id, cause);
+  withdrawInvites(trunk);
+  const auto invitedCalls = trunk.invitedCalls;
+  for (Call* call : invitedCalls) writeSetup(trunk, *call);
 }
 
-void Softswitch::read(Instant now, Stream& stream, std::string_view bytes) {
+void Softswitch::onData(Instant now, Stream& stream, std::string_view bytes) {
   now_ = now;
-  Side& side = *static_cast<Side*>(stream.kept);
-  if (side.what == Side::What::bulletin) return fromBulletin(bytes);
-  const bool caller = side.what == Side::What::caller;
-  Lines& lines = caller ? static_cast<CallerSide&>(side).lines : static_cast<TrunkSide&>(side).lines;
-  bool readable = lines.add(bytes);
-  while (side.stream != nullptr) {
-    const auto line = lines.next();
+  Connection& connection = *static_cast<Connection*>(stream.userData);
+  if (connection.type == Connection::Type::bulletin) return onBulletinData(bytes);
+  const bool isCaller = connection.type == Connection::Type::caller;
+  LineReader& reader =
+      isCaller ? static_cast<CallerConnection&>(connection).reader : static_cast<TrunkConnection&>(connection).reader;
+  bool isReadable = reader.add(bytes);
+  while (connection.stream != nullptr) {
+    const auto line = reader.next();
     if (!line) break;
-    if (line->size() > kLongestMessage) {
-      readable = false;
+    if (line->size() > kMaxMessageBytes) {
+      isReadable = false;
       break;
     }
-    if (caller) {
-      fromCaller(static_cast<CallerSide&>(side), *line);
+    if (isCaller) {
+      onCallerMessage(static_cast<CallerConnection&>(connection), *line);
     } else {
-      fromExchange(static_cast<TrunkSide&>(side), *line);
+      onExchangeMessage(static_cast<TrunkConnection&>(connection), *line);
     }
   }
-  if (side.stream == nullptr) return;
-  if (caller) {
-    auto& from = static_cast<CallerSide&>(side);
-    if (!readable) {
-      ++counts_.unusable;
-      return closeCaller(from);
+  if (connection.stream == nullptr) return;
+  if (isCaller) {
+    auto& caller = static_cast<CallerConnection&>(connection);
+    if (!isReadable) {
+      ++counters_.invalidFromCallers;
+      return closeCaller(caller);
     }
-    from.brokenSince = lines.broken() ? std::min(from.brokenSince, now) : Instant::never();
-    if (stream.unsent() > kUnsent) closeCaller(from);
-  } else if (!readable) {
-    ++counts_.spoilt;
-    lose(static_cast<TrunkSide&>(side), InviteOutcome::reset);
+    caller.partialLineSince = reader.hasPartialLine() ? std::min(caller.partialLineSince, now) : Instant::never();
+    if (stream.unsentBytes() > kMaxUnsentBytes) closeCaller(caller);
+  } else if (!isReadable) {
+    ++counters_.invalidFromExchanges;
+    dropConnection(static_cast<TrunkConnection&>(connection), InviteOutcome::reset);
   }
 }
 
-void Softswitch::down(Instant now, Stream& stream, StreamEnd how) {
+void Softswitch::onClosed(Instant now, Stream& stream, CloseReason reason) {
   now_ = now;
-  Side& side = *static_cast<Side*>(stream.kept);
-  side.stream = nullptr;
-  if (side.what == Side::What::bulletin) {
-    if (!bulletin_->lost)
-      tell_("bulletin " + iax2::text(deployment_.bulletin) + ": no connection; asked until there is one");
-    bulletin_->lost = true;
-    askBulletinWithin(bulletin_->redial * 2.0);
-    bulletin_->redial = std::min(bulletin_->redial * 2.0, kRedialBulletinLast);
+  Connection& connection = *static_cast<Connection*>(stream.userData);
+  connection.stream = nullptr;
+  if (connection.type == Connection::Type::bulletin) {
+    if (!bulletin_->disconnected)
+      log_("bulletin " + iax2::text(deployment_.bulletinAddress) +
+           ": connection lost or not established; retrying until it is established");
+    bulletin_->disconnected = true;
+    scheduleSubscription(bulletin_->backoff * 2.0);
+    bulletin_->backoff = std::min(bulletin_->backoff * 2.0, kMaxBulletinBackoff);
     return;
   }
-  if (side.what == Side::What::caller) return closeCaller(static_cast<CallerSide&>(side));
-  auto& trunk = static_cast<TrunkSide&>(side);
+  if (connection.type == Connection::Type::caller) return closeCaller(static_cast<CallerConnection&>(connection));
+  auto& trunk = static_cast<TrunkConnection&>(connection);
   Peer& peer = *trunk.peer;
-  if (how == StreamEnd::refused) notUp(peer, true);
-  lose(trunk, InviteOutcome::unreachable);
+  if (reason == CloseReason::refused) onConnectFailed(peer, true);
+  dropConnection(trunk, InviteOutcome::unreachable);
 }
 
-// ---- The module's decisions -----------------------------------------------------------------------------------------
+// ---- Decisions of the controller ------------------------------------------------------------------------------------
 
-void Softswitch::finish(Call& call, Kind kind, const Fields& fields, int cause, std::string_view description) {
+void Softswitch::finishSetup(Call& call, MessageKind kind, const Fields& fields, int cause,
+                             std::string_view description) {
   if (call.caller != nullptr) {
     call.caller->stream->send(writeMessage(kind, call.id, fields, cause, description));
-    --call.caller->open;
+    --call.caller->pendingSetups;
   }
-  --openCalls_;
+  --pendingSetups_;
   dropDescription(call);
-  call.state = Call::State::done;
+  call.state = Call::State::finished;
   call.caller = nullptr;
-  finished_.push_back(call.id);
+  finishedCallIds_.push_back(call.id);
 }
 
 void Softswitch::rejectBusy(const Session& session, Span retryAfter) {
-  ++counts_.refused;
+  ++counters_.refused;
   Fields fields;
-  if (retryAfter > Span::none()) fields.emplace_back("wait", milliseconds(retryAfter));
-  finish(const_cast<Call&>(static_cast<const Call&>(session)), Kind::release, fields, kRefused);
+  if (retryAfter > Span::none()) fields.emplace_back("wait", formatMilliseconds(retryAfter));
+  finishSetup(const_cast<Call&>(static_cast<const Call&>(session)), MessageKind::release, fields, kCauseNoCircuit);
 }
 
 void Softswitch::failUncertain(const Session& session) {
-  ++counts_.failed;
-  finish(const_cast<Call&>(static_cast<const Call&>(session)), Kind::release, {}, kFailed);
+  ++counters_.failed;
+  finishSetup(const_cast<Call&>(static_cast<const Call&>(session)), MessageKind::release, {}, kCauseTemporaryFailure);
 }
 
 void Softswitch::scheduleWakeUp(Span delay) { wakeAt_ = now_ + delay; }
 
 void Softswitch::deliver(Controller& controller) {
-  for (const auto& event : delivered_) event(controller);
+  for (const auto& event : roundEvents_) event(controller);
 }
 
-void Softswitch::round() {
-  // A refusal within a round may leave a further event; each takes up one of the call's few INVITEs.
-  while (!events_.empty() || wakeAt_ <= now_) {
+void Softswitch::runRound() {
+  // An INVITE that fails within a round queues a further event. The loop ends because each of them uses up one of the
+  // call's few INVITEs.
+  while (!queuedEvents_.empty() || wakeAt_ <= now_) {
     if (wakeAt_ <= now_) wakeAt_ = Instant::never();
-    delivered_ = std::move(events_);
-    events_.clear();
+    roundEvents_ = std::move(queuedEvents_);
+    queuedEvents_.clear();
     controller_->round(now_, *this, *this);
-    delivered_.clear();
+    roundEvents_.clear();
   }
-  for (const std::string& id : finished_) {
+  for (const std::string& id : finishedCallIds_) {
     const auto it = calls_.find(id);
-    if (it != calls_.end() && it->second->state == Call::State::done) calls_.erase(it);
+    if (it != calls_.end() && it->second->state == Call::State::finished) calls_.erase(it);
   }
-  finished_.clear();
+  finishedCallIds_.clear();
 }
 
 // ---- The bulletin ---------------------------------------------------------------------------------------------------
 
-void Softswitch::apply(const std::vector<BulletinEvent>& events) {
+void Softswitch::applyEvents(const std::vector<BulletinEvent>& events) {
   for (const BulletinEvent& event : events) {
-    if (event.number <= bulletin_->last && bulletin_->last > 0) continue;
-    bulletin_->last = event.number;
-    // Who has the address of another took its place: the one before runs no more, and nothing must go there for it.
-    for (const Place& place : event.places) {
-      if (place.entry.readiness == Readiness::gone) continue;
+    if (event.number <= bulletin_->lastEvent && bulletin_->lastEvent > 0) continue;
+    bulletin_->lastEvent = event.number;
+    // If an exchange is listed at the address of another, the other's process no longer runs, and nothing may be sent
+    // to the address on its behalf.
+    for (const ExchangeLocation& location : event.locations) {
+      if (location.entry.readiness == Readiness::gone) continue;
       for (const auto& [id, listed] : registry_.all()) {
-        auto& before = static_cast<Peer&>(*listed);
-        if (id != place.entry.id && before.address == place.address) leave(before);
+        auto& previous = static_cast<Peer&>(*listed);
+        if (id != location.entry.id && previous.address == location.address) retirePeer(previous);
       }
     }
-    std::vector<wire::ListEntry> lines;
-    for (const Place& place : event.places) {
-      lines.push_back(place.entry);
-      // One that has gone is where it was, or nowhere if another took its place: it must not be looked for there again.
-      if (place.entry.readiness == Readiness::gone && registry_.known(place.entry.id) != nullptr) continue;
-      auto& peer = static_cast<Peer&>(registry_.exchange(place.entry.id));
-      const bool anew = place.entry.started > peer.started || !(peer.address == place.address);
-      peer.address = place.address;
-      if (anew) {
-        peer.anewAt = now_;
-        peer.nextDial = Instant::longAgo();
-        peer.redial = kRedialFirst;
-        // Its processor is another now; what stood on the one before is over.
-        if (place.entry.started > Instant::longAgo()) cutStanding(peer, place.entry.started);
+    std::vector<wire::ListEntry> entries;
+    for (const ExchangeLocation& location : event.locations) {
+      entries.push_back(location.entry);
+      // An exchange that has gone keeps its address, or has none if another has taken it over, and must not get it
+      // back. again.
+      if (location.entry.readiness == Readiness::gone && registry_.known(location.entry.id) != nullptr) continue;
+      auto& peer = static_cast<Peer&>(registry_.exchange(location.entry.id));
+      const bool isNewProcess = location.entry.started > peer.started || !(peer.address == location.address);
+      peer.address = location.address;
+      if (isNewProcess) {
+        peer.restartedAt = now_;
+        peer.nextConnectAt = Instant::longAgo();
+        peer.backoff = kInitialBackoff;
+        // Calls established with the previous process no longer exist.
+        if (location.entry.started > Instant::longAgo()) dropEstablishedCalls(peer, location.entry.started);
       }
     }
-    events_.push_back([this, lines, whole = event.whole](Controller& to) {
-      registry_.list(to, lines, whole);
-      // No group leads to the own exchange, which nothing else would tell: no connection goes there.
+    queuedEvents_.push_back([this, entries, isSnapshot = event.isSnapshot](Controller& to) {
+      registry_.list(to, entries, isSnapshot);
+      // There is no trunk group to the own exchange, and no connection on which that could be reported.
       for (const auto& [id, listed] : registry_.all()) {
         if (listed->own && listed->circuits < 0) to.circuitsChanged(*listed, 0, 0);
       }
@@ -222,86 +231,88 @@
   }
 }
 
-void Softswitch::fromBulletin(std::string_view bytes) {
-  Bulletin& from = *bulletin_;
-  from.frames.add(bytes);
-  while (const auto event = from.frames.next()) {
-    from.silentAt = now_ + kBulletinSilent + kSpread * chance();
-    const bool news = event->whole || !event->places.empty();
-    // What lies between was lost on the way; an empty frame tells the last number too. Once asked for in vain it is not
-    // there.
-    if (!event->whole && event->number > from.last + (news ? 1 : 0) && from.gapAfter != from.last) {
-      from.gapAfter = from.last;
-      tell_("bulletin: an event is missing; asked again");
-      return askBulletinWithin(kSpread * 0.5);
+void Softswitch::onBulletinData(std::string_view bytes) {
+  Bulletin& bulletin = *bulletin_;
+  bulletin.reader.add(bytes);
+  while (const auto event = bulletin.reader.next()) {
+    bulletin.timeoutAt = now_ + kBulletinTimeout + kSubscribeJitter * randomFraction();
+    const bool hasEntries = event->isSnapshot || !event->locations.empty();
+    // A gap in the event numbers means that events were lost; an empty frame carries the last number too. If they are
+    // still missing after a new subscription, they do not exist.
+    if (!event->isSnapshot && event->number > bulletin.lastEvent + (hasEntries ? 1 : 0) &&
+        bulletin.gapAfter != bulletin.lastEvent) {
+      bulletin.gapAfter = bulletin.lastEvent;
+      log_("bulletin: an event is missing; subscribing again");
+      return scheduleSubscription(kSubscribeJitter * 0.5);
     }
-    if (news) apply({*event});
+    if (hasEntries) applyEvents({*event});
   }
-  if (!from.frames.readable()) {
-    tell_("bulletin: what came is no frame; asked again");
-    askBulletinWithin(kSpread * 0.5);
+  if (!bulletin.reader.isValid()) {
+    log_("bulletin: received data is not a valid frame; subscribing again");
+    scheduleSubscription(kSubscribeJitter * 0.5);
   }
 }
 
-double Softswitch::chance() { return std::generate_canonical<double, 24>(chance_); }
+double Softswitch::randomFraction() { return std::generate_canonical<double, 24>(random_); }
 
-/// Not at once, but at an instant by chance before that is over.
-void Softswitch::askBulletinWithin(Span most) {
-  Bulletin& of = *bulletin_;
-  if (of.stream != nullptr) std::exchange(of.stream, nullptr)->cut();
-  of.frames = Frames();
-  of.nextDial = now_ + most * chance();
+// Drops the connection to the bulletin and subscribes again after a random delay of up to `maxDelay`.
+void Softswitch::scheduleSubscription(Span maxDelay) {
+  Bulletin& bulletin = *bulletin_;
+  if (bulletin.stream != nullptr) std::exchange(bulletin.stream, nullptr)->abort();
+  bulletin.reader = FrameReader();
+  bulletin.nextConnectAt = now_ + maxDelay * randomFraction();
 }
 
-void Softswitch::askBulletin() {
-  Bulletin& of = *bulletin_;
-  if (of.stream != nullptr) of.stream->cut();
-  of.frames = Frames();
-  of.silentAt = now_ + kBulletinSilent + kSpread * chance();
-  of.stream = dialler_->dial(deployment_.bulletin);
-  of.nextDial = now_ + kRedialBulletin;
-  if (of.stream != nullptr) of.stream->kept = static_cast<Side*>(&of);
+void Softswitch::subscribeToBulletin() {
+  Bulletin& bulletin = *bulletin_;
+  if (bulletin.stream != nullptr) bulletin.stream->abort();
+  bulletin.reader = FrameReader();
+  bulletin.timeoutAt = now_ + kBulletinTimeout + kSubscribeJitter * randomFraction();
+  bulletin.stream = connector_->connect(deployment_.bulletinAddress);
+  bulletin.nextConnectAt = now_ + kBulletinBackoff;
+  if (bulletin.stream != nullptr) bulletin.stream->userData = static_cast<Connection*>(&bulletin);
 }
 
-void Softswitch::reconfigured(Instant now, const Deployment& deployment) {
+void Softswitch::reconfigure(Instant now, const Deployment& deployment) {
   now_ = now;
-  deployment_.bulletin = deployment.bulletin;
-  apply(deployment.known);
-  bulletin_->redial = kRedialBulletin;
-  askBulletinWithin(kSpread * 0.5);
+  deployment_.bulletinAddress = deployment.bulletinAddress;
+  applyEvents(deployment.knownEvents);
+  bulletin_->backoff = kBulletinBackoff;
+  scheduleSubscription(kSubscribeJitter * 0.5);
 }
 
-// ---- What is due ----------------------------------------------------------------------------------------------------
+// ---- Rounds and deadlines -------------------------------------------------------------------------------------------
 
 void Softswitch::process(Instant now) {
   now_ = now;
-  const auto ringing = ringing_;
-  for (Call* call : ringing) {
-    if (call->giveUp > now) continue;
-    TrunkSide& side = *call->trunk;
-    std::erase(side.ringing, call);
-    if (side.up) {
-      release(*call->peer, &side, call->id, kNormal);
-      if (side.heard <= call->sentAt) {
-        side.doubtful = true;
-        side.spokenTo = now;
+  const auto invitedCalls = invitedCalls_;
+  for (Call* call : invitedCalls) {
+    if (call->giveUpAt > now) continue;
+    TrunkConnection& connection = *call->trunk;
+    std::erase(connection.invitedCalls, call);
+    if (connection.connected) {
+      sendRelease(*call->peer, &connection, call->id, kCauseNormalClearing);
+      if (connection.lastReceivedAt <= call->sentAt) {
+        connection.suspect = true;
+        connection.lastRequestAt = now;
       }
     }
-    ended(*call, side.up ? InviteOutcome::timedOut : InviteOutcome::unreachable);
+    endInvite(*call, connection.connected ? InviteOutcome::timedOut : InviteOutcome::unreachable);
   }
-  if (!parted_ && now - keptAt_ >= kKeeping) {
-    keptAt_ = now;
-    if (bulletin_->stream == nullptr ? bulletin_->nextDial <= now_ : bulletin_->silentAt <= now_) askBulletin();
-    keepSides();
-    keepCallers();
+  if (!connectionsClosed_ && now - maintainedAt_ >= kMaintenanceInterval) {
+    maintainedAt_ = now;
+    if (bulletin_->stream == nullptr ? bulletin_->nextConnectAt <= now_ : bulletin_->timeoutAt <= now_)
+      subscribeToBulletin();
+    maintainTrunks();
+    maintainCallers();
   }
-  round();
-  dead_.clear();
+  runRound();
+  closedConnections_.clear();
 }
 
 Instant Softswitch::nextDeadline() const {
-  Instant next = parted_ ? wakeAt_ : std::min(wakeAt_, keptAt_ + kKeeping);
-  for (const Call* call : ringing_) next = std::min(next, call->giveUp);
+  Instant next = connectionsClosed_ ? wakeAt_ : std::min(wakeAt_, maintainedAt_ + kMaintenanceInterval);
+  for (const Call* call : invitedCalls_) next = std::min(next, call->giveUpAt);
   return next;
 }
 
@@ -309,58 +320,61 @@
   if (stoppingSince_ != Instant::never()) return;
   stoppingSince_ = now;
   Span longest;
-  for (const Service& service : deployment_.data.services) longest = std::max(longest, service.timerLimit);
-  leaveAt_ = now + std::min(longest, kLongestLeave) + kLeaveSpare;
+  for (const Service& service : deployment_.officeConfig.services) longest = std::max(longest, service.timerLimit);
+  exitAt_ = now + std::min(longest, kMaxDrainTime) + kDrainMargin;
 }
 
-bool Softswitch::stopped(Instant now) const {
-  const auto unread = [](const auto& side) { return side->stream->unread(); };
-  return now >= leaveAt_ && openCalls_ == 0 && std::none_of(callers_.begin(), callers_.end(), unread);
+bool Softswitch::isStopped(Instant now) const {
+  const auto hasUnreadData = [](const auto& connection) { return connection->stream->hasUnreadData(); };
+  return now >= exitAt_ && pendingSetups_ == 0 && std::none_of(callers_.begin(), callers_.end(), hasUnreadData);
 }
 
-void Softswitch::part(Instant now) {
+void Softswitch::closeConnections(Instant now) {
   now_ = now;
-  parted_ = true;
+  connectionsClosed_ = true;
   while (!callers_.empty()) closeCaller(*callers_.back());
   for (const auto& [id, listed] : registry_.all()) {
     auto& peer = static_cast<Peer&>(*listed);
-    for (const auto& side : peer.sides) side->told.clear();  // still to go out
-    while (!peer.sides.empty()) lose(*peer.sides.back(), InviteOutcome::unreachable);
+    for (const auto& connection : peer.connections) connection->sentReleases.clear();  // are still delivered
+    while (!peer.connections.empty()) dropConnection(*peer.connections.back(), InviteOutcome::unreachable);
   }
-  if (bulletin_->stream != nullptr) std::exchange(bulletin_->stream, nullptr)->cut();
+  if (bulletin_->stream != nullptr) std::exchange(bulletin_->stream, nullptr)->abort();
 }
 
-std::string Softswitch::account() const {
-  std::string out = "callers=" + std::to_string(callers_.size()) + " trunks=" + std::to_string(trunkCount_) +
-                    " calls=" + std::to_string(calls_.size()) + " open=" + std::to_string(openCalls_) +
-                    " taken=" + std::to_string(counts_.taken) + " answered=" + std::to_string(counts_.answered) +
-                    " refused=" + std::to_string(counts_.refused) + " failed=" + std::to_string(counts_.failed) +
-                    " abandoned=" + std::to_string(counts_.abandoned) + " invites=" + std::to_string(counts_.invites) +
-                    " cut=" + std::to_string(counts_.cut) + " unusable=" + std::to_string(counts_.unusable) +
-                    " spoilt=" + std::to_string(counts_.spoilt) + " dialled=" + std::to_string(counts_.dialled) +
-                    " not-up=" + std::to_string(counts_.notUp) + " over-bound=" + std::to_string(counts_.overBound) +
-                    " taken-back=" + std::to_string(counts_.takenBack) + " asked=" + std::to_string(counts_.asked) +
-                    " last-event=" + std::to_string(bulletin_->last) +
-                    " listed=" + std::to_string(registry_.all().size());
+std::string Softswitch::statusLine() const {
+  std::string out =
+      "callers=" + std::to_string(callers_.size()) + " trunks=" + std::to_string(trunkConnectionCount_) +
+      " calls=" + std::to_string(calls_.size()) + " open=" + std::to_string(pendingSetups_) +
+      " taken=" + std::to_string(counters_.acceptedSetups) + " answered=" + std::to_string(counters_.answered) +
+      " refused=" + std::to_string(counters_.refused) + " failed=" + std::to_string(counters_.failed) +
+      " abandoned=" + std::to_string(counters_.abandoned) + " invites=" + std::to_string(counters_.invites) +
+      " cut=" + std::to_string(counters_.droppedCalls) + " unusable=" + std::to_string(counters_.invalidFromCallers) +
+      " spoilt=" + std::to_string(counters_.invalidFromExchanges) +
+      " dialled=" + std::to_string(counters_.connectAttempts) + " not-up=" + std::to_string(counters_.failedConnects) +
+      " over-bound=" + std::to_string(counters_.limitHits) +
+      " taken-back=" + std::to_string(counters_.withdrawnInvites) +
+      " asked=" + std::to_string(counters_.subscriptions) + " last-event=" + std::to_string(bulletin_->lastEvent) +
+      " listed=" + std::to_string(registry_.all().size());
   for (const auto& [id, listed] : registry_.all()) {
     const auto& peer = static_cast<const Peer&>(*listed);
-    if (peer.readiness == Readiness::gone && peer.sides.empty()) continue;
-    const auto figure = [](bool told, double value) {
+    if (peer.readiness == Readiness::gone && peer.connections.empty()) continue;
+    const auto formatFigure = [](bool isKnown, double value) {
       char text[32];
       std::snprintf(text, sizeof text, "%g", value);
-      return told ? std::string(text) : std::string("untold");
+      return isKnown ? std::string(text) : std::string("untold");
     };
-    char who[48];
-    std::snprintf(who, sizeof who, " | s-%08x place=%d %s", id, peer.place,
+    char exchange[48];
+    std::snprintf(exchange, sizeof exchange, " | s-%08x place=%d %s", id, peer.place,
                   peer.own                             ? "own"
                   : peer.readiness == Readiness::ready ? "ready"
                                                        : "leaving");
-    out += who;
-    const bool told = peer.circuits >= 0, room = peer.reportedCapacity.size() > 0;
-    out += " free=" + figure(told, peer.freeCircuits) + " size=" + figure(told, peer.circuits) +
-           " takes=" + figure(room, room ? peer.reportedCapacity.last().value : 0) +
-           " sides=" + std::to_string(peer.sides.size()) + " ringing=" + std::to_string(peer.pendingInvites.size()) +
-           " standing=" + std::to_string(peer.standing.size());
+    out += exchange;
+    const bool hasCircuits = peer.circuits >= 0, hasCapacity = peer.reportedCapacity.size() > 0;
+    out +=
+        " free=" + formatFigure(hasCircuits, peer.freeCircuits) + " size=" + formatFigure(hasCircuits, peer.circuits) +
+        " takes=" + formatFigure(hasCapacity, hasCapacity ? peer.reportedCapacity.last().value : 0) +
+        " sides=" + std::to_string(peer.connections.size()) + " ringing=" + std::to_string(peer.pendingInvites.size()) +
+        " standing=" + std::to_string(peer.establishedCalls.size());
   }
   return out;
 }
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -19,52 +19,57 @@
 
 struct Call;
 struct Peer;
-struct Side;
-struct CallerSide;
-struct TrunkSide;
+struct Connection;
+struct CallerConnection;
+struct TrunkConnection;
 
+/// Makes the controller of an office. The configuration outlives the controller.
 using ControllerFactory = std::function<std::unique_ptr<Controller>(const OfficeConfig&, std::uint64_t seed)>;
 
-/// What passed since the start.
-struct Counts {
-  std::uint64_t taken = 0, answered = 0, refused = 0, failed = 0, abandoned = 0, invites = 0, cut = 0;
-  std::uint64_t unusable = 0;  // messages or streams from callers that can't be used
-  std::uint64_t spoilt = 0;    // streams from exchanges that can't be read any more
-  std::uint64_t dialled = 0, notUp = 0;
-  std::uint64_t overBound = 0;  // set-ups turned away at a bound of this office
-  std::uint64_t takenBack =
-      0;                    // INVITEs that waited for a connection until their exchange was told of as leaving or anew
-  std::uint64_t asked = 0;  // connections to the bulletin
+/// Events since the start of a softswitch.
+struct SoftswitchCounters {
+  /// Set-ups accepted from callers, and their outcomes: answered by an exchange, refused as busy, failed because they
+  /// may have been executed, abandoned by the caller. INVITEs sent. Established calls that were dropped.
+  std::uint64_t acceptedSetups = 0, answered = 0, refused = 0, failed = 0, abandoned = 0, invites = 0, droppedCalls = 0;
+  std::uint64_t invalidFromCallers = 0;    ///< invalid messages or unreadable streams from callers
+  std::uint64_t invalidFromExchanges = 0;  ///< invalid messages or unreadable streams from exchanges
+  /// Connections to exchanges: opened, and failed or timed out before they were established.
+  std::uint64_t connectAttempts = 0, failedConnects = 0;
+  std::uint64_t limitHits = 0;  ///< connections evicted or rejected, set-ups rejected, INVITEs without a connection
+  std::uint64_t withdrawnInvites =
+      0;  ///< INVITEs withdrawn while they waited for a connection: their exchange drains, has gone or was restarted
+  std::uint64_t subscriptions = 0;  ///< connections to the bulletin
 };
 
-/// One softswitch on the platform's protocol: connections, set-ups and standing calls between messages and the
-/// module. Free of I/O and clock. All routes, waits, repeats and judgements of health are the module's.
+/// One softswitch on the platform's protocol. Manages connections, set-ups and established calls, and translates
+/// between messages and the controller, which decides on routes, waits, retries and the health of exchanges. Does no
+/// I/O and reads no clock of its own.
 class Softswitch final : public StreamHandler, private RoundEvents, private DecisionSink {
  public:
-  /// `dialler` must outlive it. `tell` hears of what an operator should know, in one line each.
-  Softswitch(Deployment deployment, Instant now, Dialler& dialler, const ControllerFactory& open,
-             std::function<void(std::string_view)> tell);
+  /// `connector` must outlive the softswitch. `log` receives messages for the operator, one line each.
+  Softswitch(Deployment deployment, Instant now, StreamConnector& connector, const ControllerFactory& controllerFactory,
+             std::function<void(std::string_view)> log);
   ~Softswitch() override;
 
-  void came(Instant now, Stream& stream) override;
-  void up(Instant now, Stream& stream) override;
-  void read(Instant now, Stream& stream, std::string_view bytes) override;
-  void down(Instant now, Stream& stream, StreamEnd how) override;
+  void onAccepted(Instant now, Stream& stream) override;
+  void onConnected(Instant now, Stream& stream) override;
+  void onData(Instant now, Stream& stream, std::string_view bytes) override;
+  void onClosed(Instant now, Stream& stream, CloseReason reason) override;
   void process(Instant now) override;
   Instant nextDeadline() const override;
 
-  /// The configuration was replaced: the bulletin may be elsewhere and more events known.
-  void reconfigured(Instant now, const Deployment& deployment);
-  /// A planned restart: what is open is finished, what comes soon is still taken.
+  /// Applies a new configuration: the bulletin's address and the events known of it. All else stays as it was.
+  void reconfigure(Instant now, const Deployment& deployment);
+  /// Begins a planned restart: pending set-ups are completed, and new ones accepted until shortly before the exit.
   void stop(Instant now);
-  /// Nothing is open any more and nothing usual comes any more.
-  bool stopped(Instant now) const;
-  /// After that: each connection is closed, once what was sent last has gone out.
-  void part(Instant now);
+  /// True once stop() was called, its time has passed, no set-up is pending and no caller's data is unread.
+  bool isStopped(Instant now) const;
+  /// Closes each connection once the data sent on it was delivered. To be called after isStopped() has become true.
+  void closeConnections(Instant now);
 
-  const Counts& counts() const { return counts_; }
-  /// What this softswitch believes of itself and of each exchange, in one line.
-  std::string account() const;
+  const SoftswitchCounters& counters() const { return counters_; }
+  /// Counters and the state of this softswitch and of each exchange as `name=value` pairs, in one line.
+  std::string statusLine() const;
 
  private:
   void deliver(Controller& controller) override;
@@ -74,76 +79,78 @@
   void scheduleWakeUp(Span delay) override;
   void subscribe() override {}
 
-  void fromCaller(CallerSide& side, std::string_view line);
-  void setup(CallerSide& side, const Message& message);
-  void standsAlready(CallerSide& side, const Message& message, std::string_view at);
-  void unusable(CallerSide& side, std::string_view id);
-  void overFull(CallerSide& side, std::string_view id);
-  void releasedByCaller(Call& call, int cause);
+  // Callers (callers.cpp)
+  void onCallerMessage(CallerConnection& connection, std::string_view line);
+  void onSetup(CallerConnection& connection, const Message& message);
+  void adoptEstablishedCall(CallerConnection& connection, const Message& message, std::string_view exchange);
+  void rejectInvalid(CallerConnection& connection, std::string_view id);
+  void rejectOverloaded(CallerConnection& connection, std::string_view id);
+  void onCallerRelease(Call& call, int cause);
   void dropDescription(Call& call);
-  void closeCaller(CallerSide& side, bool atOnce = false);
-  CallerSide* callerFor(const Call& call);
-
-  void fromExchange(TrunkSide& side, std::string_view line);
-  void feedback(Peer& peer, const Message& message);
-  void answeredBy(TrunkSide& side, Call& call, const std::string& description);
-  void releasedBy(TrunkSide& side, Call& call, const Message& message);
-  void over(Call& call, InviteOutcome ending, int cause);
-  void ended(Call& call, InviteOutcome ending, BlockingReason reason = BlockingReason::none, bool farProcessor = false,
-             Span toldWait = Span::none());
-  void lose(TrunkSide& side, InviteOutcome unsent);
-  void release(Peer& peer, TrunkSide* side, const std::string& id, int cause);
-  TrunkSide* sideFor(Peer& peer);
-  TrunkSide* dial(Peer& peer);
-  bool makeRoomFor(const Peer& peer);
-  void writeTo(TrunkSide& side, const std::string& id, int cause);
-  void takeBack(TrunkSide& side);
-  void write(TrunkSide& side, Call& call);
-  void leave(Peer& peer);
-  void notUp(Peer& peer, bool refused);
-  void cutStanding(Peer& peer, Instant before);
-  void finish(Call& call, Kind kind, const Fields& fields, int cause, std::string_view description = {});
-  void tellCaller(Call& call, int cause);
-
-  void apply(const std::vector<BulletinEvent>& events);
-  void fromBulletin(std::string_view bytes);
-  void askBulletin();
-  void askBulletinWithin(Span most);
-  double chance();
-  void keepSides();
-  void keepCallers();
-  void round();
+  void closeCaller(CallerConnection& connection, bool atOnce = false);
+  CallerConnection* findCallerFor(const Call& call);
+
+  // Exchanges (exchanges.cpp)
+  void onExchangeMessage(TrunkConnection& connection, std::string_view line);
+  void onLoadReport(Peer& peer, const Message& message);
+  void onAnswer(TrunkConnection& connection, Call& call, const std::string& description);
+  void onInviteRejected(TrunkConnection& connection, Call& call, const Message& message);
+  void endEstablishedCall(Call& call, InviteOutcome outcome, int cause);
+  void endInvite(Call& call, InviteOutcome outcome, BlockingReason reason = BlockingReason::none,
+                 bool farProcessor = false, Span reportedWait = Span::none());
+  void dropConnection(TrunkConnection& connection, InviteOutcome outcomeIfUnsent);
+  void sendRelease(Peer& peer, TrunkConnection* connection, const std::string& id, int cause);
+  TrunkConnection* selectConnection(Peer& peer);
+  TrunkConnection* openConnection(Peer& peer);
+  bool evictIdleConnectionFor(const Peer& peer);
+  void writeRelease(TrunkConnection& connection, const std::string& id, int cause);
+  void withdrawInvites(TrunkConnection& connection);
+  void writeSetup(TrunkConnection& connection, Call& call);
+  void retirePeer(Peer& peer);
+  void onConnectFailed(Peer& peer, bool refused);
+  void dropEstablishedCalls(Peer& peer, Instant before);
+  void finishSetup(Call& call, MessageKind kind, const Fields& fields, int cause, std::string_view description = {});
+  void notifyCaller(Call& call, int cause);
+
+  void applyEvents(const std::vector<BulletinEvent>& events);
+  void onBulletinData(std::string_view bytes);
+  void subscribeToBulletin();
+  void scheduleSubscription(Span maxDelay);
+  double randomFraction();
+  void maintainTrunks();
+  void maintainCallers();
+  void runRound();
 
   Deployment deployment_;
-  Dialler* dialler_;
-  std::function<void(std::string_view)> tell_;
+  StreamConnector* connector_;
+  std::function<void(std::string_view)> log_;
   std::unique_ptr<Controller> controller_;
   wire::ExchangeRegistry registry_;
-  std::unordered_map<std::string, std::unique_ptr<Call>> calls_;
-  std::vector<Call*> ringing_;
-  std::vector<std::string> finished_;
-  std::vector<std::unique_ptr<CallerSide>> callers_;
-  std::vector<std::unique_ptr<Side>> dead_;  // kept until the round is over
+  std::unordered_map<std::string, std::unique_ptr<Call>> calls_;  // by id
+  std::vector<Call*> invitedCalls_;
+  std::vector<std::string> finishedCallIds_;  // removed from calls_ after the round
+  std::vector<std::unique_ptr<CallerConnection>> callers_;
+  std::vector<std::unique_ptr<Connection>> closedConnections_;  // kept until the round is over
   struct Bulletin;
   std::unique_ptr<Bulletin> bulletin_;
-  std::vector<std::function<void(Controller&)>> events_, delivered_;
-  struct Over {
+  std::vector<std::function<void(Controller&)>> queuedEvents_, roundEvents_;  // for the next and for this round
+  struct StoredRelease {
     std::string id;
-    Instant at;
+    Instant storedAt;
     int cause;
   };
-  std::vector<Over> overUnknown_;  // released by an exchange before a caller named them
-  std::vector<Over> owedToCallers_;
-  Counts counts_;
-  std::ranlux24_base chance_;
-  std::size_t openCalls_ = 0;
-  std::size_t descriptions_ = 0;  // bytes of those of open set-ups
-  std::size_t trunkCount_ = 0;
+  std::vector<StoredRelease> unmatchedReleases_;    // from exchanges, of calls that no caller has named yet
+  std::vector<StoredRelease> undeliveredReleases_;  // for callers, while none is connected that could receive them
+  SoftswitchCounters counters_;
+  std::ranlux24_base random_;
+  std::size_t pendingSetups_ = 0;
+  std::size_t descriptionBytes_ = 0;  // of the descriptions of all pending set-ups
+  std::size_t trunkConnectionCount_ = 0;
   Instant now_;
   Instant wakeAt_ = Instant::longAgo();
-  Instant keptAt_ = Instant::longAgo();
-  bool parted_ = false;
-  Instant stoppingSince_ = Instant::never(), leaveAt_ = Instant::never();
+  Instant maintainedAt_ = Instant::longAgo();
+  bool connectionsClosed_ = false;
+  Instant stoppingSince_ = Instant::never(), exitAt_ = Instant::never();
 };
 
 }  // namespace thistlefold::platform
