--- a/src/stream_handler.hpp
+++ b/src/stream_handler.hpp
@@ -8,52 +8,60 @@
 
 namespace thistlefold {
 
-/// How a stream came to its end.
-enum class StreamEnd { closed, reset, refused };
+/// Why a stream ended without having been closed from this side.
+enum class CloseReason {
+  closed,   ///< the remote end closed its sending direction
+  reset,    ///< the established connection was reset or failed
+  refused  ///< the connection could not be established, for whatever reason
+};
 
-/// One TCP connection, owned by whoever runs the party. Valid until end() or cut() was called on it, or until the
-/// party was told that it is down.
+/// One TCP connection. Owned by whatever runs the handler; a handler may use it until it calls close() or abort() on it
+/// or until StreamHandler::onClosed() for it has returned.
 class Stream {
  public:
-  /// What the party keeps of it; the party's to set and to free.
-  void* kept = nullptr;
+  /// Reserved for the handler, which sets it and owns what it points to.
+  void* userData = nullptr;
 
-  /// Never blocks; what the system has no room for waits. Ignored once the connection is down.
+  /// Never blocks: bytes that the socket buffer does not take are queued. Ignored once the connection has ended.
   virtual void send(std::string_view bytes) = 0;
-  /// Bytes that wait.
-  virtual std::size_t unsent() const = 0;
-  /// Something came that the party was not told of yet.
-  virtual bool unread() const { return false; }
-  /// Closes once what was sent has gone out and been taken, within bounds. Nothing more is told of it.
-  virtual void end() = 0;
-  /// Closes at once. Nothing more is told of it.
-  virtual void cut() = 0;
+  /// Number of bytes that are queued because the socket buffer did not take them.
+  virtual std::size_t unsentBytes() const = 0;
+  /// True if received bytes wait that were not yet passed to the handler.
+  virtual bool hasUnreadData() const { return false; }
+  /// Closes once the bytes sent so far were delivered, within a bounded linger time. No further callback follows.
+  virtual void close() = 0;
+  /// Closes at once; queued bytes are discarded. No further callback follows.
+  virtual void abort() = 0;
 
  protected:
   virtual ~Stream() = default;
 };
 
-/// Opens streams.
-class Dialler {
+/// Opens outgoing connections.
+class StreamConnector {
  public:
-  virtual ~Dialler() = default;
-  /// StreamHandler::up() or StreamHandler::down() follows, never from within; nullptr if no descriptor is left.
-  virtual Stream* dial(iax2::Address to) = 0;
+  virtual ~StreamConnector() = default;
+  /// Begins to connect. StreamHandler::onConnected() or StreamHandler::onClosed() follows, never from within this call.
+  /// Returns nullptr if no connection can be opened, because of the connection limit or for want of a file descriptor.
+  virtual Stream* connect(iax2::Address to) = 0;
 };
 
-/// Whoever speaks over streams. Free of I/O and clock, one thread at a time.
+/// Application logic over streams. Does no I/O and reads no clock of its own, so that tests can drive it directly.
+/// Called by one thread at a time.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
-  /// Someone connected.
-  virtual void came(Instant now, Stream& stream) = 0;
-  /// A stream that was dialled stands.
-  virtual void up(Instant now, Stream& stream) = 0;
-  virtual void read(Instant now, Stream& stream, std::string_view bytes) = 0;
-  virtual void down(Instant now, Stream& stream, StreamEnd how) = 0;
-  /// One round over all that came in and all that is due.
+  /// A connection was accepted.
+  virtual void onAccepted(Instant now, Stream& stream) = 0;
+  /// A connection opened with StreamConnector::connect() is established.
+  virtual void onConnected(Instant now, Stream& stream) = 0;
+  /// Bytes were received. They may be any part of one or several messages.
+  virtual void onData(Instant now, Stream& stream, std::string_view bytes) = 0;
+  /// A connection ended or could not be established. The stream is no longer valid once this returns.
+  virtual void onClosed(Instant now, Stream& stream, CloseReason reason) = 0;
+  /// Handles in one round all that was received and every deadline that has passed.
   virtual void process(Instant now) = 0;
-  /// When process() is wanted at the latest though nothing comes in.
+  /// The latest instant at which process() has to be called even if nothing is received.
   virtual Instant nextDeadline() const = 0;
 };
 
--- a/tests/program/clock.cpp
+++ b/tests/program/clock.cpp
@@ -13,17 +13,17 @@
 using namespace thistlefold;
 
 TEST_CASE(
-    "a process counts on from the day's time, so that starts are ordered over a restart of the host, and alarms ring "
-    "by it") {
+    "the real clock starts at the system time, so that process starts are ordered over a reboot, and timers follow "
+    "it") {
   boost::asio::io_context context;
   const auto clock = net::makeRealClock(context.get_executor());
-  const double day =
+  const double systemTimeMs =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
-  CHECK(std::abs((clock->now() - Instant()).ms() - day) < 1000);
+  CHECK(std::abs((clock->now() - Instant()).ms() - systemTimeMs) < 1000);
   const auto timer = clock->makeTimer();
-  const Instant set = clock->now();
+  const Instant startedAt = clock->now();
   Instant firedAt = Instant::longAgo();
-  timer->set(set + Span::ms(20));
+  timer->set(startedAt + Span::ms(20));
   boost::asio::co_spawn(
       context,
       [&]() -> boost::asio::awaitable<void> {
@@ -32,6 +32,6 @@
       },
       boost::asio::detached);
   context.run();
-  CHECK(firedAt - set >= Span::ms(20));
-  CHECK(firedAt - set < Span::ms(5000));
+  CHECK(firedAt - startedAt >= Span::ms(20));
+  CHECK(firedAt - startedAt < Span::ms(5000));
 }
--- a/tests/program/streams.cpp
+++ b/tests/program/streams.cpp
@@ -1,6 +1,6 @@
-// The softswitch on the real TCP seam over loopback. The test is the only thread: what a caller has sent, closed or
-// reset lies in the system's buffers before the softswitch runs at all, so that each crossing is forced by order and
-// not by time.
+// The softswitch on TCP over loopback. The test is the only thread: whatever a caller has sent, closed or reset is in
+// the system's buffers before the softswitch runs, so that each race is produced by the order of calls and not by
+// timing.
 
 #include <doctest/doctest.h>
 #include <netinet/in.h>
@@ -21,22 +21,22 @@
 
 namespace {
 
-const std::string kOne = "00000000000000aa", kTwo = "00000000000000bb";
+const std::string kFirstId = "00000000000000aa", kSecondId = "00000000000000bb";
 
-/// A blocking socket of a caller, or what an exchange accepted.
+/// A caller's blocking socket, or a connection that the exchange or the bulletin accepted.
 class Socket {
  public:
   explicit Socket(int fd) : fd_(fd) {}
   Socket(Socket&& from) noexcept : fd_(std::exchange(from.fd_, -1)) {}
   ~Socket() { close(); }
   static Socket to(std::uint16_t port) {
-    Socket made(::socket(AF_INET, SOCK_STREAM, 0));
+    Socket client(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(port);
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    REQUIRE(::connect(made.fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-    return made;
+    REQUIRE(::connect(client.fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
+    return client;
   }
   void send(const std::string& bytes) {
     REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
@@ -50,18 +50,19 @@
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  /// All that lies there by now.
-  std::string take() {
+  /// Reads everything that has arrived so far.
+  std::string receiveAvailable() {
     std::string all;
     char buffer[4096];
-    for (ssize_t got; (got = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT)) > 0;)
-      all.append(buffer, static_cast<std::size_t>(got));
+    for (ssize_t received; (received = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT)) > 0;)
+      all.append(buffer, static_cast<std::size_t>(received));
     return all;
   }
-  bool ended() {
+  /// True if the other end has closed or reset the connection and nothing is left to read.
+  bool isClosed() {
     char byte;
-    const ssize_t got = ::recv(fd_, &byte, 1, MSG_DONTWAIT | MSG_PEEK);
-    return got == 0 || (got < 0 && errno != EAGAIN);
+    const ssize_t received = ::recv(fd_, &byte, 1, MSG_DONTWAIT | MSG_PEEK);
+    return received == 0 || (received < 0 && errno != EAGAIN);
   }
   int fd() const { return fd_; }
 
@@ -69,6 +70,7 @@
   int fd_;
 };
 
+/// A listening socket on a free port.
 struct Listener {
   Listener() : socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     sockaddr_in at{};
@@ -88,18 +90,18 @@
   std::uint16_t port = 0;
 };
 
-/// One softswitch with one exchange beside its own, whose connections and bulletin are this test's.
+/// One softswitch with one exchange besides its own. The test plays the exchange and the bulletin.
 struct SoftswitchFixture {
   explicit SoftswitchFixture(int descriptors = 256, const std::string& limit = "9000")
       : clock(net::makeRealClock(context.get_executor())),
         deployment(readDeployment(text(descriptors, limit))),
-        streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.connections)),
-        office(deployment, clock->now(), streams, makeController, [](std::string_view) {}),
+        streams(context.get_executor(), *clock, static_cast<std::size_t>(deployment.maxConnections)),
+        softswitch(deployment, clock->now(), streams, makeController, [](std::string_view) {}),
         port(streams.listen({INADDR_LOOPBACK, 0}).port) {
-    streams.attend(office, [this](const char* what) { fault = what; });
-    until([this] { return standing("sides=1"); });
+    streams.serve(softswitch, [this](const char* what) { error = what; });
+    runUntil([this] { return statusContains("sides=1"); });
   }
-  ~SoftswitchFixture() { CHECK(fault.empty()); }
+  ~SoftswitchFixture() { CHECK(error.empty()); }
   std::string text(int descriptors, const std::string& limit) const {
     return R"({"name":"n1","listen":"127.0.0.1:0","seed":"8c1f","limits":{"memory_mb":32,"sockets":)" +
            std::to_string(descriptors) + R"(},"bulletin":"127.0.0.1:)" + std::to_string(bulletin.port) +
@@ -112,33 +114,37 @@
              "Grades":[{"Name":"voice","Aim":200,"GiveUp":)" +
            limit + R"(}],"Obligations":{"WarmAfter":0}}})";
   }
-  bool standing(const char* what) const { return office.account().find(what) != std::string::npos; }
-  /// Runs the softswitch until that holds, for five seconds at most.
+  bool statusContains(const char* what) const { return softswitch.statusLine().find(what) != std::string::npos; }
+  /// Runs the softswitch until the condition holds, for five seconds at most. Returns whether it holds.
   template <typename Done>
-  bool until(const Done& done) {
+  bool runUntil(const Done& done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(5);
     while (!done() && std::chrono::steady_clock::now() < end) {
       context.run_for(std::chrono::milliseconds(2));
-      while (auto one = exchange.accept()) sides.push_back(std::move(*one));
-      while (auto one = bulletin.accept()) watches.push_back(std::move(*one));
-      for (auto& side : sides) heard += side.take();
+      while (auto accepted = exchange.accept()) trunkSockets.push_back(std::move(*accepted));
+      while (auto accepted = bulletin.accept()) bulletinSockets.push_back(std::move(*accepted));
+      for (auto& trunkSocket : trunkSockets) exchangeInput += trunkSocket.receiveAvailable();
     }
     return done();
   }
   void settle() {
-    const std::uint64_t before = office.counts().taken;
-    until([&] { return office.counts().taken > before || (callerGone() && standing(" open=0 ")); });
-    until([this] { return standing(" open=0 "); });
+    const std::uint64_t before = softswitch.counters().acceptedSetups;
+    runUntil([&] {
+      return softswitch.counters().acceptedSetups > before || (hasNoCallers() && statusContains(" open=0 "));
+    });
+    runUntil([this] { return statusContains(" open=0 "); });
+  }
+  bool hasNoCallers() const { return statusContains("callers=0 "); }
+  bool exchangeReceived(const std::string& id) const {
+    return exchangeInput.find("\"setup\",\"id\":\"" + id) != std::string::npos;
   }
-  bool callerGone() const { return standing("callers=0 "); }
-  bool heardOf(const std::string& id) const { return heard.find("\"setup\",\"id\":\"" + id) != std::string::npos; }
 
-  static std::string setUp(const std::string& id, std::size_t size = 10) {
+  static std::string setupLine(const std::string& id, std::size_t size = 10) {
     return R"({"type":"setup","id":")" + id +
            R"(","fields":{"class":"voice","left":"3000","key":"7f","extras":"dest:1;width:1"},"sdp":")" +
            std::string(size, 'x') + "\"}\n";
   }
-  static std::string release(const std::string& id) {
+  static std::string releaseLine(const std::string& id) {
     return R"({"type":"release","id":")" + id + R"(","fields":{},"cause":16})" + "\n";
   }
 
@@ -147,99 +153,101 @@
   std::unique_ptr<net::Clock> clock;
   Deployment deployment;
   net::StreamRunner streams;
-  Softswitch office;
+  Softswitch softswitch;
   std::uint16_t port;
-  std::vector<Socket> sides, watches;
-  std::string heard, fault;
+  std::vector<Socket> trunkSockets, bulletinSockets;
+  std::string exchangeInput, error;
 };
 
 }  // namespace
 
-TEST_CASE("streams: a set-up whose caller closed, half-closed, reset or gave up behind it is never sent on") {
-  for (const int how : {0, 1, 2, 3, 4}) {
-    CAPTURE(how);
+TEST_CASE("streams: a set-up is not relayed if its caller closed, half-closed, reset or released it right after") {
+  for (const int ending : {0, 1, 2, 3, 4}) {
+    CAPTURE(ending);
     SoftswitchFixture fixture;
     Socket caller = Socket::to(fixture.port);
-    caller.send(SoftswitchFixture::setUp(kOne));
-    if (how == 0) caller.close();
-    if (how == 1) caller.halfClose();
-    if (how == 2) caller.reset();
-    if (how == 3) caller.send(SoftswitchFixture::release(kOne));
-    if (how == 4) {
-      // More than one buffer of it lies between the set-up and its end.
-      for (int i = 0; i < 3; ++i) caller.send(SoftswitchFixture::setUp(kTwo.substr(2) + std::to_string(10 + i), 12000));
+    caller.send(SoftswitchFixture::setupLine(kFirstId));
+    if (ending == 0) caller.close();
+    if (ending == 1) caller.halfClose();
+    if (ending == 2) caller.reset();
+    if (ending == 3) caller.send(SoftswitchFixture::releaseLine(kFirstId));
+    if (ending == 4) {
+      // More than one read buffer of data lies between the set-up and the end of the stream.
+      for (int i = 0; i < 3; ++i)
+        caller.send(SoftswitchFixture::setupLine(kSecondId.substr(2) + std::to_string(10 + i), 12000));
       caller.close();
     }
-    // Another caller behind it, to know that the softswitch has been through all of it.
+    // A second caller connects after it; once its set-up is relayed, the softswitch has read all of the first.
     Socket other = Socket::to(fixture.port);
-    other.send(SoftswitchFixture::setUp(kTwo));
-    REQUIRE(fixture.until([&] { return fixture.heardOf(kTwo); }));
-    CHECK(!fixture.heardOf(kOne));
+    other.send(SoftswitchFixture::setupLine(kSecondId));
+    REQUIRE(fixture.runUntil([&] { return fixture.exchangeReceived(kSecondId); }));
+    CHECK(!fixture.exchangeReceived(kFirstId));
   }
 }
 
-TEST_CASE("streams: connections that are only being closed leave room for the bulletin, exchanges and callers") {
+TEST_CASE("streams: closing connections make room for the bulletin, exchanges and callers") {
   SoftswitchFixture fixture(64);
-  std::vector<Socket> bad;
-  // Each is told that it can't be used, does not close, and so lingers; the system's queue holds the rest.
+  std::vector<Socket> invalidCallers;
+  // Each is rejected but does not close, so that its connection lingers. The listen backlog holds the rest.
   for (int i = 0; i < 60; ++i) {
-    bad.push_back(Socket::to(fixture.port));
-    bad.back().send("noise\n");
-  }
-  REQUIRE(fixture.until([&] { return fixture.office.counts().unusable >= 60; }));
-  CHECK(fixture.streams.held() <= static_cast<std::size_t>(fixture.deployment.connections));
-  fixture.watches.clear();
-  CHECK(fixture.until([&] { return !fixture.watches.empty(); }));  // asked again
-  Socket usual = Socket::to(fixture.port);
-  usual.send(SoftswitchFixture::setUp(kOne));
-  CHECK(fixture.until([&] { return fixture.heardOf(kOne); }));
+    invalidCallers.push_back(Socket::to(fixture.port));
+    invalidCallers.back().send("noise\n");
+  }
+  REQUIRE(fixture.runUntil([&] { return fixture.softswitch.counters().invalidFromCallers >= 60; }));
+  CHECK(fixture.streams.connectionCount() <= static_cast<std::size_t>(fixture.deployment.maxConnections));
+  fixture.bulletinSockets.clear();
+  CHECK(fixture.runUntil([&] { return !fixture.bulletinSockets.empty(); }));  // subscribed again
+  Socket regularCaller = Socket::to(fixture.port);
+  regularCaller.send(SoftswitchFixture::setupLine(kFirstId));
+  CHECK(fixture.runUntil([&] { return fixture.exchangeReceived(kFirstId); }));
 }
 
-TEST_CASE("streams: connections that were closed and have gone are forgotten") {
+TEST_CASE("streams: closed connections that are gone are not remembered") {
   SoftswitchFixture fixture;
-  REQUIRE(fixture.until([&] { return !fixture.watches.empty(); }));  // all that the softswitch dials by itself stands
-  const std::size_t before = fixture.streams.held();
+  // Every connection that the softswitch opens by itself is established.
+  REQUIRE(fixture.runUntil([&] { return !fixture.bulletinSockets.empty(); }));
+  const std::size_t before = fixture.streams.connectionCount();
   for (std::uint64_t i = 1; i <= 40; ++i) {
-    Socket bad = Socket::to(fixture.port);
-    bad.send("noise\n");
-    REQUIRE(fixture.until([&] { return fixture.office.counts().unusable >= i; }));
-    bad.close();
-    REQUIRE(fixture.until([&] { return fixture.streams.held() <= before; }));
+    Socket invalidCaller = Socket::to(fixture.port);
+    invalidCaller.send("noise\n");
+    REQUIRE(fixture.runUntil([&] { return fixture.softswitch.counters().invalidFromCallers >= i; }));
+    invalidCaller.close();
+    REQUIRE(fixture.runUntil([&] { return fixture.streams.connectionCount() <= before; }));
   }
-  CHECK(fixture.streams.closing() <= 2);
+  CHECK(fixture.streams.closingCount() <= 2);
 }
 
-TEST_CASE("streams: idle callers fill their share, and a set-up that lies unread is not closed with its connection") {
+TEST_CASE("streams: when idle callers fill their share, a connection with an unread set-up is not evicted") {
   SoftswitchFixture fixture(64);
   std::vector<Socket> idle;
   for (int i = 0; i < 24; ++i) idle.push_back(Socket::to(fixture.port));
-  REQUIRE(fixture.until([&] { return fixture.standing("callers=24 "); }));
-  // The longest silent one speaks, and as many others come as there is room for, before the softswitch runs again.
-  idle.front().send(SoftswitchFixture::setUp(kOne));
+  REQUIRE(fixture.runUntil([&] { return fixture.statusContains("callers=24 "); }));
+  // Before the softswitch runs again, the caller that was silent for longest sends a set-up and ten more connect.
+  idle.front().send(SoftswitchFixture::setupLine(kFirstId));
   for (int i = 0; i < 10; ++i) idle.push_back(Socket::to(fixture.port));
-  REQUIRE(fixture.until([&] { return fixture.heardOf(kOne); }));
-  CHECK(!idle.front().ended());
-  CHECK(fixture.standing("callers=24 "));
+  REQUIRE(fixture.runUntil([&] { return fixture.exchangeReceived(kFirstId); }));
+  CHECK(!idle.front().isClosed());
+  CHECK(fixture.statusContains("callers=24 "));
 }
 
-TEST_CASE("streams: after a planned restart's last answer nothing that was sent is lost, and nobody is let in") {
+TEST_CASE("streams: at the end of a planned restart no answer is lost and no connection is accepted") {
   SoftswitchFixture fixture(256, "100");
   Socket caller = Socket::to(fixture.port);
-  fixture.office.stop(fixture.clock->now());
-  caller.send(SoftswitchFixture::setUp(kOne));
-  REQUIRE(fixture.until([&] { return fixture.heardOf(kOne); }));
-  REQUIRE(fixture.until([&] { return fixture.office.stopped(fixture.clock->now()); }));
-  // What comes while it ends lies unread; a close there and then would be a reset, which takes the answer along.
-  caller.send(SoftswitchFixture::setUp(kTwo));
-  CHECK(!fixture.office.stopped(fixture.clock->now()));
-  REQUIRE(fixture.until([&] { return fixture.office.stopped(fixture.clock->now()); }));
-  fixture.streams.deafen();
-  fixture.office.part(fixture.clock->now());
+  fixture.softswitch.stop(fixture.clock->now());
+  caller.send(SoftswitchFixture::setupLine(kFirstId));
+  REQUIRE(fixture.runUntil([&] { return fixture.exchangeReceived(kFirstId); }));
+  REQUIRE(fixture.runUntil([&] { return fixture.softswitch.isStopped(fixture.clock->now()); }));
+  // A set-up that arrives meanwhile is unread. Closing at once would send a reset, which destroys the answer.
+  caller.send(SoftswitchFixture::setupLine(kSecondId));
+  CHECK(!fixture.softswitch.isStopped(fixture.clock->now()));
+  REQUIRE(fixture.runUntil([&] { return fixture.softswitch.isStopped(fixture.clock->now()); }));
+  fixture.streams.stopAccepting();
+  fixture.softswitch.closeConnections(fixture.clock->now());
   CHECK(::connect(::socket(AF_INET, SOCK_STREAM, 0), nullptr, 0) != 0);
-  std::string said;
-  CHECK(fixture.until([&] { return (said += caller.take(), caller.ended()); }));
-  CHECK(said.find("\"release\",\"id\":\"" + kOne) != std::string::npos);
-  CHECK(said.find("\"release\",\"id\":\"" + kTwo) != std::string::npos);
+  std::string received;
+  CHECK(fixture.runUntil([&] { return (received += caller.receiveAvailable(), caller.isClosed()); }));
+  CHECK(received.find("\"release\",\"id\":\"" + kFirstId) != std::string::npos);
+  CHECK(received.find("\"release\",\"id\":\"" + kSecondId) != std::string::npos);
   caller.close();
-  CHECK(fixture.until([&] { return fixture.streams.held() == 0; }));
+  CHECK(fixture.runUntil([&] { return fixture.streams.connectionCount() == 0; }));
 }
