--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -93,7 +93,8 @@
       const auto address = iax2::parseAddress(wire::name(target, "endpoint"));
       if (!address) wire::failField("endpoint", "an address and a port are wanted");
       const std::string_view state = wire::name(target, "state");
-      if (state != "ready" && state != "draining" && state != "gone") wire::failField("state", "ready, draining or gone is wanted");
+      if (state != "ready" && state != "draining" && state != "gone")
+        wire::failField("state", "ready, draining or gone is wanted");
       location.entry.id = *id;
       location.address = *address;
       location.entry.readiness = state == "ready"      ? Readiness::ready
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -16,8 +16,7 @@
 constexpr Span kValidMessageTimeout = Span::ms(2700);
 // A caller that connects is read within this time, even in a flood of connections.
 constexpr Span kRecentActivity = Span::ms(100);
-// The platform's callers close a connection after four seconds without a call. One that stays open is closed after
-// this.
+// The platform's callers close a connection after four seconds without a call. A longer idle one is closed after this.
 constexpr Span kCallerIdleTimeout = Span::ms(6000);
 // Limits of one connection: pending set-ups, and invalid messages after which it is closed.
 constexpr std::size_t kMaxPendingSetupsPerCaller = 512;
@@ -152,14 +151,14 @@
   };
   const auto service =
       std::find(deployment_.services.begin(), deployment_.services.end(), message.field("class").value_or(""));
-  const auto timeLeft = readNumber(message.field("left").value_or(""));
+  const auto remainingMs = readNumber(message.field("left").value_or(""));
   const auto destinationPlace = readFigure("dest");
   const std::string_view key = message.field("key").value_or("");
   const auto dialledNumber = readHex(key);
   const auto serviceIndex = static_cast<std::size_t>(service - deployment_.services.begin());
   const bool isKnownService = service != deployment_.services.end();
   const double width = readFigure("width").value_or(isKnownService ? deployment_.defaultWidths[serviceIndex] : 1);
-  if (!isKnownService || !timeLeft || *timeLeft <= 0 || *timeLeft > 3.6e6 || !destinationPlace ||
+  if (!isKnownService || !remainingMs || *remainingMs <= 0 || *remainingMs > 3.6e6 || !destinationPlace ||
       *destinationPlace < 0 || *destinationPlace > 1e6 || !dialledNumber || width <= 0 || width > 1e4 ||
       message.description.empty()) {
     return rejectInvalid(connection, message.id);
@@ -180,7 +179,7 @@
   call.service = &deployment_.officeConfig.services[serviceIndex];
   call.width = width;
   call.destination = registry_.at(*destinationPlace);
-  call.timerLimit = std::min(now_ + Span::ms(*timeLeft), exitAt_ - kNoNewSetupsBeforeExit * 0.5);
+  call.timerLimit = std::min(now_ + Span::ms(*remainingMs), exitAt_ - kNoNewSetupsBeforeExit * 0.5);
   call.dialledNumber = *dialledNumber;
   call.transit = readFigure("transit").value_or(0) == 1;
   call.wasCut = readFigure("again").value_or(0) == 1;
@@ -288,8 +287,8 @@
     atOnce&& nothingInTransit ? connection.stream->abort() : connection.stream->close();
     connection.stream = nullptr;
   }
-  const auto it =
-      std::find_if(callers_.begin(), callers_.end(), [&](const auto& release) { return release.get() == &connection; });
+  const auto it = std::find_if(callers_.begin(), callers_.end(),
+                               [&](const auto& candidate) { return candidate.get() == &connection; });
   closedConnections_.push_back(std::move(*it));
   callers_.erase(it);
 }
--- a/src/platform/deployment.cpp
+++ b/src/platform/deployment.cpp
@@ -12,7 +12,8 @@
 
 using namespace wire;
 
-// File descriptors that are not connections: standard streams, listener, poller, timers, signals, the configuration file.
+// File descriptors that are not connections: standard streams, listener, poller, timers, signals, the configuration
+// file.
 constexpr int kOtherDescriptors = 16;
 
 iax2::Address address(const Value& fields, const char* field) {
@@ -38,9 +39,10 @@
   const auto seed = readHex(name(document, "seed", "0"));
   if (!seed) failField("seed", "hex digits are wanted");
   deployment.seed = *seed;
-  deployment.maxConnections = std::clamp(integer(object(document, "limits"), "sockets", 256), 64, 65536) - kOtherDescriptors;
-  deployment.memoryBytes = static_cast<std::size_t>(std::clamp(integer(object(document, "limits"), "memory_mb", 32), 8, 65536))
-                    << 20;
+  deployment.maxConnections =
+      std::clamp(integer(object(document, "limits"), "sockets", 256), 64, 65536) - kOtherDescriptors;
+  deployment.memoryBytes =
+      static_cast<std::size_t>(std::clamp(integer(object(document, "limits"), "memory_mb", 32), 8, 65536)) << 20;
   deployment.knownEvents = readKnownEvents(object(document, "known"));
   const Value& settings = object(document, "settings");
   deployment.officeConfig = readOfficeConfig(settings);
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -25,8 +25,8 @@
 // dropped.
 constexpr Span kDeadAfterRefusals = Span::ms(1000);
 // If an exchange with established calls is silent, a new connection tests whether it is alive: a machine that has
-// vanished accepts none, and only this softswitch can notify the callers. The platform requires that within eight
-// seconds.
+// vanished accepts none, and only this softswitch can notify the callers. The platform requires that they are notified
+// within eight seconds.
 constexpr Span kSilenceBeforeCheck = Span::ms(1500);
 constexpr Span kLivenessCheckInterval = Span::ms(800);
 constexpr Span kVanishedAfter = Span::ms(5000);
@@ -42,8 +42,8 @@
   ++peer.failedConnects;
   // A timeout counts like a refusal only if the bulletin lists the exchange as gone too.
   if (!refused && peer.readiness != Readiness::gone) return;
-  const bool anyConnected =
-      std::any_of(peer.connections.begin(), peer.connections.end(), [](const auto& one) { return one->connected; });
+  const bool anyConnected = std::any_of(peer.connections.begin(), peer.connections.end(),
+                                        [](const auto& candidate) { return candidate->connected; });
   if (!anyConnected) peer.refusedSince = std::min(peer.refusedSince, now_);
 }
 
@@ -128,9 +128,9 @@
   ++counters_.invites;
   call.peer = &peer;
   call.giveUpAt = std::min(now_ + giveUpAfter, call.timerLimit);
-  std::erase_if(peer.pendingReleases, [&](const auto& one) { return one.first == call.id; });
+  std::erase_if(peer.pendingReleases, [&](const auto& release) { return release.first == call.id; });
   for (const auto& connection : peer.connections)
-    std::erase_if(connection->sentReleases, [&](const SentRelease& one) { return one.id == call.id; });
+    std::erase_if(connection->sentReleases, [&](const SentRelease& release) { return release.id == call.id; });
   TrunkConnection* connection = selectConnection(peer);
   if (connection == nullptr) {
     // No connection exists and no file descriptor is left for one, or the exchange has no address any more.
@@ -150,11 +150,11 @@
 void Softswitch::sendRelease(Peer& peer, TrunkConnection* connection, const std::string& id, int cause) {
   if (connection == nullptr || !connection->connected || connection->stream == nullptr) {
     connection = nullptr;
-    for (const auto& one : peer.connections) {
-      if (!one->connected || one->stream == nullptr) continue;
-      if (connection == nullptr ||
-          std::pair(!one->suspect, one->lastReceivedAt) > std::pair(!connection->suspect, connection->lastReceivedAt))
-        connection = one.get();
+    for (const auto& candidate : peer.connections) {
+      if (!candidate->connected || candidate->stream == nullptr) continue;
+      if (connection == nullptr || std::pair(!candidate->suspect, candidate->lastReceivedAt) >
+                                       std::pair(!connection->suspect, connection->lastReceivedAt))
+        connection = candidate.get();
     }
   }
   if (connection != nullptr) return writeRelease(*connection, id, cause);
@@ -221,7 +221,7 @@
   connection.suspect = false;
   onLoadReport(*connection.peer, *message);
   if (message->kind == MessageKind::released)
-    std::erase_if(connection.sentReleases, [&](const SentRelease& one) { return one.id == message->id; });
+    std::erase_if(connection.sentReleases, [&](const SentRelease& release) { return release.id == message->id; });
   if (message->kind != MessageKind::answer && message->kind != MessageKind::release) return;
   const auto it = calls_.find(message->id);
   Call* call = it == calls_.end() ? nullptr : it->second.get();
@@ -322,8 +322,8 @@
   connection.stream = nullptr;
   const auto invitedCalls = std::move(connection.invitedCalls);
   connection.invitedCalls.clear();
-  for (const SentRelease& one : connection.sentReleases) {
-    if (now_ - one.sentAt < kReleaseRepeatWindow) sendRelease(peer, nullptr, one.id, one.cause);
+  for (const SentRelease& release : connection.sentReleases) {
+    if (now_ - release.sentAt < kReleaseRepeatWindow) sendRelease(peer, nullptr, release.id, release.cause);
   }
   for (Call* call : invitedCalls) {
     if (wasConnected) sendRelease(peer, nullptr, call->id, kCauseNormalClearing);
@@ -333,7 +333,7 @@
   peer.nextConnectAt = now_ + peer.backoff;
   if (!wasConnected) peer.backoff = std::min(peer.backoff * 2.0, kMaxBackoff);
   const auto it = std::find_if(peer.connections.begin(), peer.connections.end(),
-                               [&](const auto& one) { return one.get() == &connection; });
+                               [&](const auto& candidate) { return candidate.get() == &connection; });
   closedConnections_.push_back(std::move(*it));
   peer.connections.erase(it);
 }
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -27,7 +27,8 @@
 }
 
 std::optional<Message> readMessage(std::string_view line) {
-  // The parser is iterative so that deep nesting can't overflow the stack. Numbers keep the text they were written with.
+  // The parser is iterative so that deep nesting can't overflow the stack. Numbers keep the text they were written
+  // with.
   constexpr unsigned kFlags =
       rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag | rapidjson::kParseNumbersAsStringsFlag;
   rapidjson::Document parsed;
--- a/src/platform/softswitch.cpp
+++ b/src/platform/softswitch.cpp
@@ -20,9 +20,9 @@
 constexpr Span kMaintenanceInterval = Span::ms(20);
 // A planned restart. After SIGTERM, SIGKILL follows no sooner than the longest timer limit (three seconds at most) plus
 // 0.7 s. Until shortly before, calls in transit are still carried, so that other offices keep their tandem.
+// kDrainMargin is used beyond the limit; the rest of the 0.7 s is for the delivery of the last answers.
 constexpr Span kMaxDrainTime = Span::ms(3000);
-constexpr Span kDrainMargin =
-    Span::ms(400);  // beyond the limit; the rest of the 0.7 s is for the delivery of the last answers
+constexpr Span kDrainMargin = Span::ms(400);
 
 constexpr int kCauseNoCircuit = 34;  // release cause of a set-up that is refused as busy
 
@@ -208,7 +208,7 @@
     for (const ExchangeLocation& location : event.locations) {
       entries.push_back(location.entry);
       // An exchange that has gone keeps its address, or has none if another has taken it over, and must not get it
-      // back. again.
+      // back.
       if (location.entry.readiness == Readiness::gone && registry_.known(location.entry.id) != nullptr) continue;
       auto& peer = static_cast<Peer&>(registry_.exchange(location.entry.id));
       const bool isNewProcess = location.entry.started > peer.started || !(peer.address == location.address);
