--- a/src/net/stream_runner.cpp
+++ b/src/net/stream_runner.cpp
@@ -33,6 +33,7 @@
 
 }  // namespace
 
+/// State shared by the runner, its streams and the coroutines.
 struct StreamRunner::State {
   State(asio::any_io_executor ioExecutor, Clock& sourceClock, std::size_t limit)
       : executor(std::move(ioExecutor)),
@@ -86,6 +87,7 @@
   bool stopped = false;
 };
 
+/// A TCP connection. Its coroutines keep it alive until they have ended.
 class TcpStream final : public Stream, public std::enable_shared_from_this<TcpStream> {
  public:
   TcpStream(std::shared_ptr<StreamRunner::State> runner, tcp::socket socket)
@@ -125,6 +127,7 @@
     closeSocket();
   }
 
+  /// Connects, then reads until the stream ends.
   static asio::awaitable<void> runConnect(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> runner,
                                           tcp::endpoint to) {
     Error error;
@@ -143,6 +146,7 @@
     co_await runReader(self, runner);
   }
 
+  /// Passes received bytes to the handler until the stream ends.
   static asio::awaitable<void> runReader(std::shared_ptr<TcpStream> self, std::shared_ptr<StreamRunner::State> runner) {
     while (!self->closed_ && !runner->stopped) {
       Error error;
@@ -173,6 +177,7 @@
   }
 
  private:
+  /// Sends the queued bytes.
   static asio::awaitable<void> runWriter(std::shared_ptr<TcpStream> self) {
     while (!self->outgoing_.empty() && self->socket_.is_open()) {
       Error error;
@@ -184,6 +189,8 @@
     }
   }
 
+  /// Sends the queued bytes, half-closes, and discards received data until the remote end closes or the linger time is
+  /// over.
   static asio::awaitable<void> runLinger(std::shared_ptr<TcpStream> self) {
     asio::steady_timer timer(self->runner_->executor, kLinger);
     timer.async_wait([self](const Error& error) {
--- a/src/platform/callers.cpp
+++ b/src/platform/callers.cpp
@@ -225,6 +225,7 @@
   calls_.emplace(message.id, std::move(newCall));
 }
 
+// Ends a call that its caller has released, or a set-up that the caller has abandoned by closing.
 void Softswitch::onCallerRelease(Call& call, int cause) {
   if (call.state == Call::State::established) {
     sendRelease(*call.peer, nullptr, call.id, cause);
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -147,6 +147,8 @@
   if (connection->connected) writeSetup(*connection, call);
 }
 
+// Writes a release on `connection` if that is established, otherwise on the best other one. If there is none, the
+// release is stored until a connection is established.
 void Softswitch::sendRelease(Peer& peer, TrunkConnection* connection, const std::string& id, int cause) {
   if (connection == nullptr || !connection->connected || connection->stream == nullptr) {
     connection = nullptr;
@@ -347,6 +349,7 @@
   peer.address = {};
 }
 
+// Drops the calls of an exchange that were established earlier than `before`.
 void Softswitch::dropEstablishedCalls(Peer& peer, Instant before) {
   const auto establishedCalls = peer.establishedCalls;
   for (Call* call : establishedCalls) {
