--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -36,8 +36,8 @@
   /// Connections to exchanges: opened, and failed or timed out before they were established.
   std::uint64_t connectAttempts = 0, failedConnects = 0;
   std::uint64_t limitHits = 0;  ///< connections evicted or rejected, set-ups rejected, INVITEs without a connection
-  std::uint64_t withdrawnInvites =
-      0;  ///< INVITEs withdrawn while they waited for a connection: their exchange drains, has gone or was restarted
+  /// INVITEs withdrawn while they waited for a connection, as their exchange drains, has gone or was restarted.
+  std::uint64_t withdrawnInvites = 0;
   std::uint64_t subscriptions = 0;  ///< connections to the bulletin
 };
 
