--- a/src/stream_handler.hpp
+++ b/src/stream_handler.hpp
@@ -10,8 +10,8 @@
 
 /// Why a stream ended without having been closed from this side.
 enum class CloseReason {
-  closed,   ///< the remote end closed its sending direction
-  reset,    ///< the established connection was reset or failed
+  closed,  ///< the remote end closed its sending direction
+  reset,   ///< the established connection was reset or failed
   refused  ///< the connection could not be established, for whatever reason
 };
 
