--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -48,7 +48,7 @@
   void attach(iax2::Address identity, DatagramHandler& handler) override {
     if (hosts_.contains(identity)) throw TestbedError("two handlers attached at " + iax2::text(identity));
     auto host = std::make_unique<Host>(clock_);
-    host->port = network_.port(identity);
+    host->port = network_.openPort(identity);
     host->runner = std::make_unique<net::DatagramRunner>(
         context_.get_executor(), handler, *host->port, host->clock,
         [identity](const char* problem) { throw TestbedError("handler at " + iax2::text(identity) + ": " + problem); });
@@ -60,7 +60,7 @@
     it->second->port->close();
     it->second->runner.reset();
     // The coroutines may refer to the port and the clock until they have run once more, so the host is kept until then.
-    clock_.at(clock_.now() + Span::ms(1), [kept = std::shared_ptr<Host>(std::move(it->second))] {});
+    clock_.callAt(clock_.now() + Span::ms(1), [kept = std::shared_ptr<Host>(std::move(it->second))] {});
     hosts_.erase(it);
   }
   void wakeUp(iax2::Address identity) override {
@@ -78,13 +78,13 @@
   }
   void killOffice(int place) override {
     detach(officeIdentity(place));
-    clock_.at(clock_.now() + Span::ms(2), [kept = std::shared_ptr<Office>(std::move(offices_[place]))] {});
+    clock_.callAt(clock_.now() + Span::ms(2), [kept = std::shared_ptr<Office>(std::move(offices_[place]))] {});
     offices_.erase(place);
   }
   void freezeOffice(int place, bool frozen) override {
-    network_.freeze(officeIdentity(place), frozen);
+    network_.setFrozen(officeIdentity(place), frozen);
     const auto host = hosts_.find(officeIdentity(place));
-    if (host != hosts_.end()) host->second->clock.freeze(frozen);
+    if (host != hosts_.end()) host->second->clock.setFrozen(frozen);
   }
   void stopOffice(int place) override {
     const auto office = offices_.find(place);
@@ -105,7 +105,7 @@
     return office->second->answer(clock_.now(), question);
   }
 
-  void schedule(Instant when, std::function<void()> action) override { clock_.at(when, std::move(action)); }
+  void schedule(Instant when, std::function<void()> action) override { clock_.callAt(when, std::move(action)); }
   void runUntil(Instant end) override { clock_.runUntil(end); }
 
  private:
--- /dev/null
+++ b/src/platform/connections.hpp
@@ -0,0 +1,100 @@
+#pragma once
+
+// State that a softswitch keeps for its connections, the exchanges and the calls. Private to
+// softswitch.cpp, callers.cpp and exchanges.cpp.
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "iax2/address.hpp"
+#include "platform/message.hpp"
+#include "stream_handler.hpp"
+#include "thistlefold/session.hpp"
+#include "wire/exchange_registry.hpp"
+
+namespace thistlefold::platform {
+
+/// First back-off before a new connection attempt to an exchange.
+inline constexpr Span kInitialBackoff = Span::ms(50);
+/// Maximum length of each list of releases that can't be delivered yet.
+inline constexpr std::size_t kMaxStoredReleases = 2048;
+/// Release causes: a normal end or an abandoned set-up; a failed set-up or a dropped call.
+inline constexpr int kCauseNormalClearing = 16;
+inline constexpr int kCauseTemporaryFailure = 41;
+
+struct Call;
+struct Peer;
+
+/// State common to all connections of a softswitch.
+struct Connection {
+  virtual ~Connection() = default;
+  enum class Type { caller, trunk, bulletin } type = Type::caller;
+  Stream* stream = nullptr;  ///< nullptr: closed, or not opened yet
+};
+
+/// An incoming connection of a caller.
+struct CallerConnection : Connection {
+  LineReader reader;
+  /// `partialLineSince`: when the incomplete line that waits was first seen; never if there is none.
+  Instant connectedAt, partialLineSince = Instant::never(), lastMessageAt;
+  bool hasSentValidMessage = false;
+  bool hadEstablishedCall = false;
+  int invalidMessages = 0;
+  std::size_t pendingSetups = 0;  ///< set-ups without a final answer
+};
+
+/// A release that was written to an exchange.
+struct SentRelease {
+  std::string id;
+  int cause;
+  Instant sentAt;
+};
+
+/// An outgoing connection to an exchange.
+struct TrunkConnection : Connection {
+  Peer* peer = nullptr;
+  LineReader reader;
+  bool connected = false;
+  bool suspect = false;  ///< a set-up on it timed out and nothing was received since
+  /// `lastRequestAt`: when the last set-up, or the release of a set-up that timed out, was written.
+  Instant connectStartedAt, lastReceivedAt, lastRequestAt;
+  std::vector<Call*> invitedCalls;
+  std::vector<SentRelease> sentReleases;  ///< releases written to it that were not acknowledged yet
+};
+
+/// A listed exchange.
+struct Peer : wire::ListedExchange {
+  iax2::Address address;  ///< default value: unknown, or taken over by another exchange
+  std::vector<std::unique_ptr<TrunkConnection>> connections;
+  std::vector<std::pair<std::string, int>> pendingReleases;  ///< id and cause, written on the next connection
+  std::vector<Call*> establishedCalls;
+  Instant nextConnectAt = Instant::distantPast();
+  Instant restartedAt = Instant::distantPast();  ///< when the bulletin reported a new process or address
+  Span backoff = kInitialBackoff;
+  Instant refusedSince = Instant::never();       ///< connection attempts fail since then and none is established
+  Instant lastAliveAt = Instant::distantPast();  ///< when it last sent a message or accepted a connection
+  Instant livenessCheckedAt = Instant::distantPast();
+  int failedConnects = 0;  ///< connection attempts that failed since `lastAliveAt`
+};
+
+/// A call, from its set-up to its end. Owned by the softswitch.
+struct Call : Session {
+  /// `key`: the dialled number as written in the set-up. `description`: empty once the set-up has its final answer.
+  std::string id, key, description;
+  std::size_t serviceIndex = 0;
+  enum class State {
+    unrouted,     ///< no INVITE is out; the controller decides
+    invited,      ///< an INVITE is out or waits for its connection
+    established,  ///< answered
+    finished      ///< removed after the round
+  } state = State::unrouted;
+  bool knownToController = true;       ///< false: was established before this softswitch started
+  CallerConnection* caller = nullptr;  ///< nullptr: the caller's connection is closed
+  TrunkConnection* trunk = nullptr;    ///< set while an INVITE is out
+  Peer* peer = nullptr;                ///< the exchange of the last INVITE
+  Instant giveUpAt, establishedAt;
+};
+
+}  // namespace thistlefold::platform
