--- a/bench/office_bench.cpp
+++ b/bench/office_bench.cpp
@@ -56,12 +56,12 @@
   service.postDialTarget = Span::ms(2000);
   service.timerLimit = Span::ms(9000);
   service.meanHold = Span::ms(1000);
-  fleet.data.services = {service};
-  fleet.data.maxInvites = 6;
-  fleet.data.releaseTime = Span::ms(300);
+  fleet.config.services = {service};
+  fleet.config.maxInvites = 6;
+  fleet.config.releaseTime = Span::ms(300);
   fleet.directory = {9, 9};
   for (int i = 0; i < places; ++i) {
-    Place place;
+    ExchangeSite place;
     place.name = "e" + std::to_string(i);
     place.zone = across && i > 0 ? "away" : "home";
     place.numbers = std::to_string(1000 + i);
@@ -98,7 +98,7 @@
   void onPong(iax2::Address, const iax2::Frame&) override {}
   iax2::Elements pongElements(iax2::Address) override {
     iax2::Elements e;
-    e.started = 1u;
+    e.incarnation = 1u;
     return e;
   }
   void onFrame(iax2::Call& call, const iax2::Frame& frame) override {
@@ -127,8 +127,8 @@
   }
   static OfficeOptions setting() {
     OfficeOptions setting;
-    setting.mostSessions = 100000;
-    setting.timing.mostCalls = 200000;
+    setting.maxSessions = 100000;
+    setting.timing.maxCalls = 200000;
     setting.timing.linger = Span::ms(500);
     return setting;
   }
@@ -159,7 +159,7 @@
     number = fleet.places[to].numbers + std::to_string(serial++ % 10000);
     e.calledNumber = number;
     e.calledContext = "call";
-    e.timeLeft = 9000u;
+    e.timeLeftMs = 9000u;
     callers.now = now;
     callers.endpoint.open(now, kOffice, &callers, e);
   }
@@ -193,7 +193,8 @@
     bench.exchange(2);
   }
   state.SetItemsProcessed(state.iterations() * kAtOnce);
-  state.counters["stood"] = static_cast<double>(bench.office.counters().stood) / static_cast<double>(bench.serial);
+  state.counters["stood"] =
+      static_cast<double>(bench.office.counters().established) / static_cast<double>(bench.serial);
 }
 
 void sessionByModule(benchmark::State& state) { session(state, makeController); }
@@ -215,7 +216,7 @@
       bench->exchange(4);
     }
     const std::size_t after = ::mallinfo2().uordblks;
-    const auto standing = static_cast<double>(bench->office.standing());
+    const auto standing = static_cast<double>(bench->office.establishedSessions());
     const auto others =
         static_cast<double>(bench->callers.endpoint.calls() + bench->far.endpoint.calls() - callsBefore);
     state.counters["standing"] = standing;
@@ -230,7 +231,7 @@
   e.calledNumber = "10010001";
   e.calledContext = "status-check";
   e.session = 1u;
-  e.timeLeft = 9000u;
+  e.timeLeftMs = 9000u;
   const auto wire = iax2::encode(iax2::FrameHeader(), e);
   iax2::Frame frame;
   for (auto _ : state) benchmark::DoNotOptimize(iax2::decode(wire, frame));
@@ -241,7 +242,7 @@
   e.calledNumber = "10010001";
   e.calledContext = "status-check";
   e.session = 1u;
-  e.timeLeft = 9000u;
+  e.timeLeftMs = 9000u;
   for (auto _ : state) benchmark::DoNotOptimize(iax2::encode(iax2::FrameHeader(), e));
 }
 
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -92,7 +92,7 @@
   void take(const Packet& packet) {
     if (begin_ == Instant::never()) begin_ = packet.at;
     now_ = packet.at;
-    if (packet.from == capture::kScript) return note(packet);
+    if (packet.from == capture::kScriptAddress) return note(packet);
     if (!packet.delivered) ++found_.datagrams;
     if (packet.from == fleet_.directory) {
       if (packet.delivered) list(packet);
@@ -220,8 +220,8 @@
       one.bytesHash = hash(packet);
       one.sent = now_;
       const int service = std::max(0, fleet_.service(frame.elements.calledContext));
-      one.limit = Span::ms(frame.elements.timeLeft.value_or(1u << 31));
-      one.limit = std::min(one.limit, fleet_.data.services[static_cast<std::size_t>(service)].timerLimit);
+      one.limit = Span::ms(frame.elements.timeLeftMs.value_or(1u << 31));
+      one.limit = std::min(one.limit, fleet_.config.services[static_cast<std::size_t>(service)].timerLimit);
       tries_[key] = one;
       return;
     }
@@ -332,7 +332,7 @@
       one->arrived = true;
       if (std::exchange(one->killed, false)) one->over = false;
     }
-    if (frame.is(Iax::NEW) && e.session && e.towards && e.width && e.timeLeft) {
+    if (frame.is(Iax::NEW) && e.session && e.destinationPlace && e.width && e.timeLeftMs) {
       if (CrossedLeg* leg = legOf(from, packet.to, frame.source)) leg->toLife = life_[static_cast<std::size_t>(to)];
     }
     if (!packet.delivered && frame.is(iax2::Control::answer)) {
@@ -360,7 +360,8 @@
       end(from, packet.to, frame.source, true);
     }
     if (packet.delivered && (bye || frame.is(Iax::INVAL))) {
-      end(to, packet.from, frame.destination, frame.is(Iax::INVAL) || frame.elements.why == iax2::ReleaseReason::reset);
+      end(to, packet.from, frame.destination,
+          frame.is(Iax::INVAL) || frame.elements.releaseReason == iax2::ReleaseReason::reset);
     }
     if (packet.delivered && answer) {
       if (Invite* one = find(to, packet.from, frame.destination)) one->answerSeq = frame.oseq;
@@ -374,12 +375,12 @@
       if (earlier.to == packet.to && earlier.number == frame.source) return;  // repeated
     }
     ++found_.invites;
-    if (frame.elements.towards && *frame.elements.towards != to) ++found_.twoLeg;
+    if (frame.elements.destinationPlace && *frame.elements.destinationPlace != to) ++found_.twoLeg;
     for (const Invite& earlier : all) {
       if (!earlier.over) {
         violation(2, session, "office " + name(from) + " sent an INVITE to " + name(to) + " while another was out");
       } else if (earlier.mayBeHeld && !earlier.stood &&
-                 now_ - earlier.overAt + tolerance_.stamp < fleet_.data.releaseTime) {
+                 now_ - earlier.overAt + tolerance_.stamp < fleet_.config.releaseTime) {
         violation(5, session,
                   "office " + name(from) + " sent the session again " +
                       std::to_string(static_cast<long>((now_ - earlier.overAt).ms())) +
@@ -406,8 +407,9 @@
     all.push_back(one);
     byCall_[{from, packet.to, frame.source}] = session;
     checkTold(from, to, session);
-    if (frame.elements.towards && *frame.elements.towards != to && *frame.elements.towards < fleet_.places.size()) {
-      checkTold(from, *frame.elements.towards, session);
+    if (frame.elements.destinationPlace && *frame.elements.destinationPlace != to &&
+        *frame.elements.destinationPlace < fleet_.places.size()) {
+      checkTold(from, *frame.elements.destinationPlace, session);
     }
   }
 
@@ -427,12 +429,12 @@
   }
 
   std::optional<ZoneLeg> crossing(const Frame& frame, int from, int to) const {
-    const Place& here = fleet_.places[static_cast<std::size_t>(from)];
-    const Place& there = fleet_.places[static_cast<std::size_t>(to)];
-    if (here.zone == there.zone || !frame.elements.towards) return std::nullopt;
+    const ExchangeSite& here = fleet_.places[static_cast<std::size_t>(from)];
+    const ExchangeSite& there = fleet_.places[static_cast<std::size_t>(to)];
+    if (here.zone == there.zone || !frame.elements.destinationPlace) return std::nullopt;
     // Whose session it is stands in its number's highest bits: a leg of another office's session is a second one.
     const bool own = *frame.elements.session >> 52 == static_cast<std::uint64_t>(from + 1);
-    const char* part = !own ? "second" : *frame.elements.towards == to ? "direct" : "first";
+    const char* part = !own ? "second" : *frame.elements.destinationPlace == to ? "direct" : "first";
     return ZoneLeg{here.zone, there.zone, std::string(frame.elements.calledContext), part};
   }
 
@@ -512,20 +514,20 @@
     Cold& cold = cold_[static_cast<std::size_t>(place)];
     if (cold.started == Instant::never()) return;
     const Span age = now_ - cold.started;
-    if (age >= fleet_.data.warmUpTime) return;
+    if (age >= fleet_.config.warmUpTime) return;
     if (!cold.seen.emplace(std::pair(packet.from, frame.source), hash(packet)).second) return;
     cold.sent.push_back(now_);
-    while (now_ - cold.sent.front() > fleet_.data.overloadWindow) cold.sent.pop_front();
+    while (now_ - cold.sent.front() > fleet_.config.overloadWindow) cold.sent.pop_front();
     const double share =
-        fleet_.data.coldCapacityShare + (1 - fleet_.data.coldCapacityShare) * (age / fleet_.data.warmUpTime);
-    const double canDo =
-        fleet_.places[static_cast<std::size_t>(place)].setUpsASecond * share * fleet_.data.overloadWindow.ms() / 1000;
-    const double used = static_cast<double>(cold.sent.size()) / (fleet_.data.overloadFactor * canDo);
+        fleet_.config.coldCapacityShare + (1 - fleet_.config.coldCapacityShare) * (age / fleet_.config.warmUpTime);
+    const double canDo = fleet_.places[static_cast<std::size_t>(place)].setUpsPerSecond * share *
+                         fleet_.config.overloadWindow.ms() / 1000;
+    const double used = static_cast<double>(cold.sent.size()) / (fleet_.config.overloadFactor * canDo);
     found_.nearestToCold = std::max(found_.nearestToCold, used);
     if (used > 1) {
       violation(4, frame.elements.session.value_or(0),
                 "the cold exchange " + name(place) + " got " + std::to_string(cold.sent.size()) + " set-ups in " +
-                    std::to_string(static_cast<long>(fleet_.data.overloadWindow.ms())) + " ms");
+                    std::to_string(static_cast<long>(fleet_.config.overloadWindow.ms())) + " ms");
     }
   }
 
--- a/src/audit/session_trace.cpp
+++ b/src/audit/session_trace.cpp
@@ -18,7 +18,7 @@
 using CallKey = std::tuple<Address, std::uint16_t, Address, std::uint16_t>;
 
 std::string nameOf(const Fleet& fleet, Address at) {
-  for (const Place& place : fleet.places) {
+  for (const ExchangeSite& place : fleet.places) {
     if (place.office == at) return "office " + place.name;
     if (place.processor == at) return "exchange " + place.name;
   }
@@ -41,7 +41,8 @@
     capture::read(capturePath, [&](const capture::Packet& packet) {
       if (begin == Instant::never()) begin = packet.at;
       iax2::Frame frame;
-      if (packet.from == capture::kScript || iax2::decode(packet.payload, frame) != iax2::DecodeResult::full) return;
+      if (packet.from == capture::kScriptAddress || iax2::decode(packet.payload, frame) != iax2::DecodeResult::full)
+        return;
       each(packet, frame, begin);
     });
   };
@@ -65,7 +66,7 @@
         << static_cast<int>(frame.oseq) << " i" << static_cast<int>(frame.iseq)
         << (frame.retransmitted ? " again" : "");
     if (frame.elements.causeCode) out << " cause " << static_cast<int>(*frame.elements.causeCode);
-    if (frame.elements.why) out << " why " << static_cast<int>(*frame.elements.why);
+    if (frame.elements.releaseReason) out << " why " << static_cast<int>(*frame.elements.releaseReason);
     out << '\n';
   });
   return count;
--- a/src/capture/capture.cpp
+++ b/src/capture/capture.cpp
@@ -105,7 +105,8 @@
 }
 
 void Writer::note(Instant at, const std::string& text) {
-  write({at, false, kScript, kDiscard, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()}});
+  write(
+      {at, false, kScriptAddress, kDiscardAddress, {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()}});
 }
 
 void Writer::close() {
--- a/src/capture/capture.hpp
+++ b/src/capture/capture.hpp
@@ -22,9 +22,9 @@
 };
 
 /// The address and port of the script's own notes.
-inline constexpr iax2::Address kScript{0x7f050001, 9};
+inline constexpr iax2::Address kScriptAddress{0x7f050001, 9};
 /// UDP's discard port.
-inline constexpr iax2::Address kDiscard{0x7f050002, 9};
+inline constexpr iax2::Address kDiscardAddress{0x7f050002, 9};
 
 class Writer {
  public:
--- a/src/command/dimension.cpp
+++ b/src/command/dimension.cpp
@@ -33,7 +33,7 @@
   dimension::Mesh& mesh = plan.mesh;
   mesh.places = static_cast<int>(plan.fleet.places.size());
   mesh.loads = loads.erlangs;
-  mesh.mostInvites = plan.fleet.data.maxInvites;
+  mesh.mostInvites = plan.fleet.config.maxInvites;
   for (const OfferedService& offer : plan.fleet.offeredServices) mesh.widths.push_back(offer.width);
   const auto zone = [&](int place) {
     return static_cast<std::size_t>(plan.fleet.zone(plan.fleet.places[static_cast<std::size_t>(place)].zone));
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -53,14 +53,14 @@
     }
   }
   void operator()(const OfficeEvent& one) {
-    using What = OfficeEvent::What;
+    using Kind = OfficeEvent::Kind;
     static constexpr std::string_view kEvents[] = {"taken", "invited",   "stood",     "ended", "refused",
                                                    "cut",   "peer-lost", "peer-back", "listed"};
-    const bool session = one.what <= What::cut;
+    const bool session = one.kind <= Kind::dropped;
     say(session                      ? spdlog::level::debug
-        : one.what == What::peerLost ? spdlog::level::warn
+        : one.kind == Kind::peerLost ? spdlog::level::warn
                                      : spdlog::level::info,
-        kEvents[static_cast<std::size_t>(one.what)], one.session, one.exchange, one.reason);
+        kEvents[static_cast<std::size_t>(one.kind)], one.session, one.exchange, one.reason);
   }
   spdlog::logger& log() { return *log_; }
 
@@ -88,7 +88,7 @@
   }
   void process(Instant now, const DatagramSender& out) override {
     for (const auto& [asker, question] : askers_) {
-      const std::string answer = question == kReread ? reread_() : office_.answer(now, question).value_or("{}");
+      const std::string answer = question == kReread ? reread_() : office_.answerQuery(now, question).value_or("{}");
       out(asker, {reinterpret_cast<const std::uint8_t*>(answer.data()), answer.size()});
     }
     askers_.clear();
@@ -117,7 +117,7 @@
       if (fleet.zones() != file.fleet.zones() || fleet.offeredServices.size() != file.fleet.offeredServices.size()) {
         throw settings::SettingsError(file.fleetPath + ": other zones or services than this office was started with");
       }
-      office.budgets(host.clock().now(), fleet.budgets);
+      office.updateBudgets(host.clock().now(), fleet.budgets);
       lines.say(spdlog::level::info, "budgets", 0, "", std::to_string(fleet.budgets.size()) + " taken");
       return "taken " + std::to_string(fleet.budgets.size()) + "\n";
     } catch (const settings::SettingsError& wrong) {
--- a/src/command/simulators.cpp
+++ b/src/command/simulators.cpp
@@ -51,15 +51,15 @@
 
 int exchange(const std::string& fleetPath, const std::string& name, bool cold, double seconds) {
   const Fleet fleet = settings::openFleet(fleetPath);
-  const Place& place = fleet.places[static_cast<std::size_t>(placeOf(fleet, name))];
+  const ExchangeSite& place = fleet.places[static_cast<std::size_t>(placeOf(fleet, name))];
   ProcessorModel model;
-  model.setUpWork = 1000 / place.setUpsASecond;
+  model.setUpWork = 1000 / place.setUpsPerSecond;
   model.followWork = 0.35 * model.setUpWork;
   model.turnAwayWork = 0.2 * model.setUpWork;
-  model.coldCapacityShare = fleet.data.coldCapacityShare;
-  model.warmUpTime = fleet.data.warmUpTime;
-  model.overloadFactor = fleet.data.overloadFactor;
-  model.overloadWindow = fleet.data.overloadWindow;
+  model.coldCapacityShare = fleet.config.coldCapacityShare;
+  model.warmUpTime = fleet.config.warmUpTime;
+  model.overloadFactor = fleet.config.overloadFactor;
+  model.overloadWindow = fleet.config.overloadWindow;
   Host host(place.processor);
   SimulatedExchange station(model, 1, host.clock().now(), !cold);
   run(host, station, seconds);
@@ -72,9 +72,9 @@
 int directory(const std::string& fleetPath, const std::string& statesPath, double seconds) {
   const Fleet fleet = settings::openFleet(fleetPath);
   std::vector<iax2::Address> offices;
-  for (const Place& place : fleet.places) offices.push_back(place.office);
+  for (const ExchangeSite& place : fleet.places) offices.push_back(place.office);
   Host host(fleet.directory);
-  SimulatedDirectory station(fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
+  SimulatedDirectory station(fleet.config.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
                              host.clock().now());
   // (states (NAME ready|draining|gone) ...), read again at SIGHUP.
   asio::signal_set again(host.context(), SIGHUP);
@@ -132,7 +132,7 @@
   plan.swing = 0;
   plan.shares.assign(plan.fleet.offeredServices.size(), 1);
   if (hold > 0) {
-    for (Service& service : plan.fleet.data.services) service.meanHold = Span::ms(hold);
+    for (Service& service : plan.fleet.config.services) service.meanHold = Span::ms(hold);
   }
   Host host({0x7f000001, 0});
   CallerBehaviour behaviour;
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -285,7 +285,7 @@
   }
   std::cout << path << ": " << set[0] << " to " << set[1] << ", " << circuits << " circuits\n";
   int status = 0;
-  for (const Place& place : fleet.places) {
+  for (const ExchangeSite& place : fleet.places) {
     if (place.zone != set[0]) continue;
     const auto answer = queryOffice(place.office, "thistlefold reread 1\n");
     const bool taken = answer && answer->starts_with("taken");
@@ -320,7 +320,7 @@
   const auto wantedOffices = [addresses](const std::string& command, const Wanted& wanted) {
     std::vector<iax2::Address> all = addresses(command, wanted.offices);
     if (wanted.fleet.empty()) return all;
-    for (const Place& place : settings::openFleet(wanted.fleet).places) all.push_back(place.office);
+    for (const ExchangeSite& place : settings::openFleet(wanted.fleet).places) all.push_back(place.office);
     return all;
   };
   const auto guarded = [&status](const std::string& command, const std::function<void()>& what) {
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -65,13 +65,13 @@
       service.timerLimit = microseconds(one.at("deadline"));
       service.meanHold = microseconds(fam.at("hold").at(i));
       service.repeatable = one.at("effect").as_string() == "safe";
-      plan.fleet.data.services.push_back(service);
+      plan.fleet.config.services.push_back(service);
       plan.shares.push_back(one.at("share").to_number<double>());
     }
   }
 
   void rules(const json::object& fam) {
-    OfficeConfig& data = out_.plan.fleet.data;
+    OfficeConfig& data = out_.plan.fleet.config;
     const json::object& tier = day_.at("tiers").at(0).as_object();
     const json::object& kind = tier.at("kinds").at(0).as_object();
     const json::object& allow = day_.at("allow").as_object();
@@ -106,11 +106,11 @@
     const double work = day_.at("classes").at(0).at("work").to_number<double>();
     for (int i = 0; i < count_; ++i) {
       const json::object& server = day_.at("servers").at(static_cast<std::size_t>(i)).as_object();
-      Place place;
+      ExchangeSite place;
       place.name = "x" + std::to_string(i);
       place.zone = std::string(zones.at(server.at("zone").to_number<std::size_t>()).as_string());
       place.numbers = std::to_string(1000 + i);
-      place.setUpsASecond = scale_ * server.at("speed").to_number<double>() * 1e6 / work;
+      place.setUpsPerSecond = scale_ * server.at("speed").to_number<double>() * 1e6 / work;
       fleet.places.push_back(place);
     }
     for (int a = 0; a < count_; ++a) {
@@ -140,7 +140,7 @@
     double sum = 0, each = 0;
     for (std::size_t i = 0; i < plan.shares.size(); ++i) {
       sum += plan.shares[i];
-      each += plan.shares[i] * plan.fleet.offeredServices[i].width * plan.fleet.data.services[i].meanHold.ms() / 1000;
+      each += plan.shares[i] * plan.fleet.offeredServices[i].width * plan.fleet.config.services[i].meanHold.ms() / 1000;
     }
     const double load = day_.at("traffic").at("load").to_number<double>();
     plan.rate = scale_ * load * erlangs / (each / sum);
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -55,9 +55,9 @@
         });
     const std::size_t count = fleet_.places.size();
     std::vector<iax2::Address> offices;
-    for (const Place& place : testbed_.fleet().places) offices.push_back(place.office);
+    for (const ExchangeSite& place : testbed_.fleet().places) offices.push_back(place.office);
     directory_ = std::make_unique<SimulatedDirectory>(
-        plan_.fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, count, testbed_.now());
+        plan_.fleet.config.mustSubscribe ? std::vector<iax2::Address>() : offices, count, testbed_.now());
     testbed_.place(kDirectory, *directory_);
     processors_.resize(count);
     for (std::size_t i = 0; i < count; ++i) startProcessor(static_cast<int>(i), true);
@@ -230,7 +230,7 @@
 
   void startProcessor(int place, bool warm) {
     ProcessorModel model = plan_.processor;
-    model.setUpWork = 1000 / fleet_.places[static_cast<std::size_t>(place)].setUpsASecond;
+    model.setUpWork = 1000 / fleet_.places[static_cast<std::size_t>(place)].setUpsPerSecond;
     model.followWork *= model.setUpWork;
     model.turnAwayWork *= model.setUpWork;
     model.lines[massCalled(fleet_, place)] = plan_.lines;
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -235,7 +235,7 @@
     const int place = plan_.fleet.place(form.value);
     if (place >= 0) return {place};
     std::vector<std::string_view> known{"all"};
-    for (const Place& one : places) known.push_back(one.name);
+    for (const ExchangeSite& one : places) known.push_back(one.name);
     settings::unknownWord(form, form.value, known);
   }
 
@@ -305,10 +305,10 @@
   plan.processor.turnAwayWork = p.number("turn-away-work", 0, 100);
   plan.processor.longestWait = Span::ms(p.number("longest-wait", 0, 1e6));
   plan.lines = p.whole("lines", 1, 100000);
-  plan.processor.coldCapacityShare = plan.fleet.data.coldCapacityShare;
-  plan.processor.warmUpTime = plan.fleet.data.warmUpTime;
-  plan.processor.overloadFactor = plan.fleet.data.overloadFactor;
-  plan.processor.overloadWindow = plan.fleet.data.overloadWindow;
+  plan.processor.coldCapacityShare = plan.fleet.config.coldCapacityShare;
+  plan.processor.warmUpTime = plan.fleet.config.warmUpTime;
+  plan.processor.overloadFactor = plan.fleet.config.overloadFactor;
+  plan.processor.overloadWindow = plan.fleet.config.overloadWindow;
   const Form* network = f.find("network");
   const Fields n(network == nullptr ? none : *network, 1, kNetwork);
   plan.network.sameZone = Span::ms(n.number("same-zone", 0, 1e4));
@@ -399,7 +399,7 @@
     dial.service = static_cast<int>(draw(plan.shares.data(), plan.shares.size()));
     const auto to = draw(&pairs[static_cast<std::size_t>(dial.office) * count], count);
     dial.number = plan.fleet.places[to].numbers + std::to_string(10001 + static_cast<int>(lot() * 9999)).substr(1);
-    const Service& service = plan.fleet.data.services[static_cast<std::size_t>(dial.service)];
+    const Service& service = plan.fleet.config.services[static_cast<std::size_t>(dial.service)];
     dial.hold = service.meanHold * std::min(4.0, -std::log(1 - lot()));
     for (const Fault& one : plan.faults) {
       if (one.kind != Fault::Kind::massCall || !during(one, at) || lot() >= one.size) continue;
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -90,14 +90,14 @@
   void budgets(const std::vector<zones::Budget>& budgets) override {
     fleet_.budgets = budgets;
     for (const auto& [place, office] : offices_) {
-      office->budgets(clock_.now(), budgets);
+      office->updateBudgets(clock_.now(), budgets);
       wakeUp(officeIdentity(place));
     }
   }
   std::optional<std::string> ask(int place, std::string_view question) override {
     const auto office = offices_.find(place);
     if (office == offices_.end()) return std::nullopt;
-    return office->second->answer(clock_.now(), question);
+    return office->second->answerQuery(clock_.now(), question);
   }
 
   void at(Instant when, std::function<void()> what) override { clock_.at(when, std::move(what)); }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -31,7 +31,7 @@
 
 std::vector<std::string> Fleet::zones() const {
   std::vector<std::string> all;
-  for (const Place& place : places) {
+  for (const ExchangeSite& place : places) {
     if (std::find(all.begin(), all.end(), place.zone) == all.end()) all.push_back(place.zone);
   }
   return all;
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -20,13 +20,13 @@
 };
 
 /// An exchange with the office in front of it.
-struct Place {
+struct ExchangeSite {
   std::string name;
   std::string zone;
   std::string numbers;  // called numbers that begin with this end here
   iax2::Address office;
   iax2::Address processor;
-  double setUpsASecond = 500;  // what its processor can take when warm
+  double setUpsPerSecond = 500;  // what its processor can take when warm
 };
 
 struct Group {
@@ -36,9 +36,9 @@
 
 struct Fleet {
   std::vector<OfferedService> offeredServices;
-  OfficeConfig data;
+  OfficeConfig config;
   Span drainGrace = Span::ms(500);
-  std::vector<Place> places;
+  std::vector<ExchangeSite> places;
   std::vector<Group> groups;
   std::vector<zones::Budget> budgets;  // by ordered pair of zones; at most one a pair
   iax2::Address directory;
--- a/src/iax2/endpoint.cpp
+++ b/src/iax2/endpoint.cpp
@@ -81,7 +81,7 @@
     if (it != byRemote_.end()) {
       // The peer has taken its number anew, so it has let go of the old call.
       Call& old = *it->second;
-      if (!old.over_) finish(now, old, CallEnd::unknown);
+      if (!old.over_) finish(now, old, CallEnd::unknownCall);
       destroy(old);
     }
     call = make(now, from);
@@ -92,7 +92,7 @@
     call->iseq_ = 1;
     call->lastStamp_ = frame.timestamp;
     byRemote_[key(from, frame.source)] = call;
-    reschedule(*call, now + timing_.ping);
+    reschedule(*call, now + timing_.pingInterval);
     call->owesAck_ = true;
     owing_.push_back(call);
     listener_.onIncomingCall(*call, frame);
@@ -116,7 +116,7 @@
 void Endpoint::take(Instant now, Call& call, const Frame& frame) {
   if (frame.is(Iax::INVAL)) {
     ++counts_.inval;
-    if (!call.over_) finish(now, call, call.closing_ ? CallEnd::finished : CallEnd::unknown);
+    if (!call.over_) finish(now, call, call.closing_ ? CallEnd::localHangUp : CallEnd::unknownCall);
     return;
   }
   // An acknowledgement of what was never sent is of another time.
@@ -168,7 +168,7 @@
     if (call.over_) return;
     if (!call.closing_ && call.owner_ != nullptr) call.owner_->onFrame(call, frame);
     call.out_.clear();
-    return finish(now, call, call.closing_ ? CallEnd::finished : CallEnd::hungUp);
+    return finish(now, call, call.closing_ ? CallEnd::localHangUp : CallEnd::remoteHangUp);
   }
   acknowledged(now, call, frame.iseq);
   if (call.over_) return;
@@ -230,13 +230,13 @@
       destroy(call);
     } else if (call.out_.empty()) {
       reliable(now, call, Type::iax, static_cast<std::uint8_t>(Iax::PING), {});
-    } else if (call.repeats_ >= timing_.repeats) {
+    } else if (call.repeats_ >= timing_.maxRetransmits) {
       ++counts_.gaveUp;
-      finish(now, call, CallEnd::unanswered);
+      finish(now, call, CallEnd::unacknowledged);
     } else {
       ++call.repeats_;
-      Span gap = timing_.firstRepeat;
-      for (int i = 0; i < call.repeats_; ++i) gap = std::min(gap * 2.0, timing_.longestRepeat);
+      Span gap = timing_.firstRetransmitInterval;
+      for (int i = 0; i < call.repeats_; ++i) gap = std::min(gap * 2.0, timing_.maxRetransmitInterval);
       reschedule(call, now + gap);
       for (Call::Unacknowledged& one : call.out_) {
         markRetransmitted(one.bytes, call.iseq_);
@@ -260,7 +260,7 @@
 }
 
 Call* Endpoint::make(Instant now, Address peer) {
-  if (byLocal_.size() >= timing_.mostCalls) {
+  if (byLocal_.size() >= timing_.maxCalls) {
     ++counts_.full;
     return nullptr;
   }
@@ -305,7 +305,7 @@
   call.owesAck_ = false;  // carried along
   if (call.out_.size() == 1) {
     call.repeats_ = 0;
-    reschedule(call, now + timing_.firstRepeat);
+    reschedule(call, now + timing_.firstRetransmitInterval);
   }
   post(call.peer_, call.out_.back().bytes);
 }
@@ -330,9 +330,9 @@
   std::erase_if(call.out_, [&](const auto& one) { return ahead(upTo, one.oseq) > 0; });
   if (call.out_.size() == before) return;
   call.repeats_ = 0;
-  if (!call.out_.empty()) return reschedule(call, now + timing_.firstRepeat);
-  if (call.closing_ && !call.over_) return finish(now, call, CallEnd::finished);
-  if (!call.over_) reschedule(call, now + timing_.ping);
+  if (!call.out_.empty()) return reschedule(call, now + timing_.firstRetransmitInterval);
+  if (call.closing_ && !call.over_) return finish(now, call, CallEnd::localHangUp);
+  if (!call.over_) reschedule(call, now + timing_.pingInterval);
 }
 
 void Endpoint::finish(Instant now, Call& call, CallEnd how) {
--- a/src/iax2/endpoint.hpp
+++ b/src/iax2/endpoint.hpp
@@ -24,10 +24,10 @@
 std::uint32_t pokeStamp(Instant now);
 
 enum class CallEnd {
-  hungUp,      // HANGUP or REJECT came from the far end; the frame has been passed on by onFrame()
-  finished,    // this end hung up and the far end has confirmed
-  unknown,     // the far end does not know the call (INVAL)
-  unanswered,  // a frame was not acknowledged after all repeats
+  remoteHangUp,    // HANGUP or REJECT came from the far end; the frame has been passed on by onFrame()
+  localHangUp,     // this end hung up and the far end has confirmed
+  unknownCall,     // the far end does not know the call (INVAL)
+  unacknowledged,  // a frame was not acknowledged after all repeats
 };
 
 /// Whoever a call belongs to. Called from within Endpoint; may send and hang up, may not destroy calls.
@@ -87,7 +87,7 @@
 };
 
 /// What went wrong on the wire and how often; plain counts since the start.
-struct Counts {
+struct EndpointCounters {
   std::uint64_t received = 0, sent = 0, malformed = 0, mini = 0, repeated = 0, outOfWindow = 0, unknownCall = 0,
                 retransmitted = 0, vnak = 0, inval = 0, gaveUp = 0, noNumber = 0, unsupported = 0, full = 0;
 };
@@ -95,12 +95,12 @@
 /// Spans of the dialogue. RFC 5456 section 7 leaves first repeat and count to the implementation and bounds a
 /// gap at 10 s.
 struct DialogueTiming {
-  Span firstRepeat = Span::ms(200);  // well above a cross-zone round trip of some 40 ms
-  Span longestRepeat = Span::ms(1600);
-  int repeats = 6;                // 200+400+800+1600+1600+1600 ms: given up after 6.2 s plus the last gap
-  Span linger = Span::ms(10000);  // a finished call is remembered so long: above the last repeat of a NEW
-  Span ping = Span::ms(20000);    // a quiet call is probed (RFC 5456 section 6.7.1 suggests some 20 s)
-  std::size_t mostCalls = 60000;  // calls at once, lingering ones included; NEWs beyond are dropped
+  Span firstRetransmitInterval = Span::ms(200);  // well above a cross-zone round trip of some 40 ms
+  Span maxRetransmitInterval = Span::ms(1600);
+  int maxRetransmits = 6;               // 200+400+800+1600+1600+1600 ms: given up after 6.2 s plus the last gap
+  Span linger = Span::ms(10000);        // a finished call is remembered so long: above the last repeat of a NEW
+  Span pingInterval = Span::ms(20000);  // a quiet call is probed (RFC 5456 section 6.7.1 suggests some 20 s)
+  std::size_t maxCalls = 60000;         // calls at once, lingering ones included; NEWs beyond are dropped
 };
 
 class Endpoint {
@@ -125,7 +125,7 @@
   /// Acknowledges what is still owed and hands over all that is to go out, oldest first.
   void flush(Instant now, const std::function<void(Address, Bytes)>& out);
 
-  const Counts& counts() const { return counts_; }
+  const EndpointCounters& counts() const { return counts_; }
   std::size_t calls() const { return byLocal_.size(); }
 
  private:
@@ -162,7 +162,7 @@
   std::vector<Call*> owing_;
   std::vector<std::pair<Address, std::vector<std::uint8_t>>> outbox_;
   std::minstd_rand chance_;
-  Counts counts_;
+  EndpointCounters counts_;
 };
 
 }  // namespace thistlefold::iax2
--- a/src/iax2/frame.cpp
+++ b/src/iax2/frame.cpp
@@ -71,25 +71,25 @@
     case kOrigin:
       return take(value, into.origin);
     case kTowards:
-      return take(value, into.towards);
+      return take(value, into.destinationPlace);
     case kWidth:
       return take(value, into.width);
     case kTimeLeft:
-      return take(value, into.timeLeft);
+      return take(value, into.timeLeftMs);
     case kWait:
-      return take(value, into.wait);
+      return take(value, into.retryAfterMs);
     case kWhy:
       if (value.size() != 1 || value[0] > static_cast<std::uint8_t>(ReleaseReason::noRoute)) return false;
-      into.why = static_cast<ReleaseReason>(value[0]);
+      into.releaseReason = static_cast<ReleaseReason>(value[0]);
       return true;
     case kBeyond:
       return take(value, into.beyond);
     case kWasCut:
       return take(value, into.wasCut);
     case kCanTake:
-      return take(value, into.canTake);
+      return take(value, into.capacityPer1000s);
     case kStarted:
-      return take(value, into.started);
+      return take(value, into.incarnation);
     default:
       return true;
   }
@@ -165,15 +165,15 @@
   out.element(kUnknown, e.unknownSubclass);
   out.element(kSession, e.session);
   out.element(kOrigin, e.origin);
-  out.element(kTowards, e.towards);
+  out.element(kTowards, e.destinationPlace);
   out.element(kWidth, e.width);
-  out.element(kTimeLeft, e.timeLeft);
-  out.element(kWait, e.wait);
-  out.element(kWhy, e.why);
+  out.element(kTimeLeft, e.timeLeftMs);
+  out.element(kWait, e.retryAfterMs);
+  out.element(kWhy, e.releaseReason);
   out.element(kBeyond, e.beyond);
   out.element(kWasCut, e.wasCut);
-  out.element(kCanTake, e.canTake);
-  out.element(kStarted, e.started);
+  out.element(kCanTake, e.capacityPer1000s);
+  out.element(kStarted, e.incarnation);
   return std::move(out.bytes);
 }
 
--- a/src/iax2/frame.hpp
+++ b/src/iax2/frame.hpp
@@ -59,17 +59,17 @@
   std::optional<std::uint8_t> unknownSubclass;
 
   // Private.
-  std::optional<std::uint64_t> session;   // the same on every leg of one session
-  std::optional<std::uint16_t> origin;    // place of the office that sends
-  std::optional<std::uint16_t> towards;   // place of the destination
-  std::optional<std::uint16_t> width;     // circuits
-  std::optional<std::uint32_t> timeLeft;  // ms until the caller gives up
-  std::optional<std::uint32_t> wait;      // ms until a full processor, or a refused caller, may come back
-  std::optional<ReleaseReason> why;
-  std::optional<bool> beyond;            // the reason lies with the exchange beyond
-  std::optional<bool> wasCut;            // the caller's last session was cut
-  std::optional<std::uint32_t> canTake;  // set-ups in 1000 s that the processor there can take
-  std::optional<std::uint64_t> started;  // ms on the fleet's clock when the sender was started
+  std::optional<std::uint64_t> session;           // the same on every leg of one session
+  std::optional<std::uint16_t> origin;            // place of the office that sends
+  std::optional<std::uint16_t> destinationPlace;  // place of the destination
+  std::optional<std::uint16_t> width;             // circuits
+  std::optional<std::uint32_t> timeLeftMs;        // ms until the caller gives up
+  std::optional<std::uint32_t> retryAfterMs;      // ms until a full processor, or a refused caller, may come back
+  std::optional<ReleaseReason> releaseReason;
+  std::optional<bool> beyond;                     // the reason lies with the exchange beyond
+  std::optional<bool> wasCut;                     // the caller's last session was cut
+  std::optional<std::uint32_t> capacityPer1000s;  // set-ups in 1000 s that the processor there can take
+  std::optional<std::uint64_t> incarnation;       // ms on the fleet's clock when the sender was started
 };
 
 struct FrameHeader {
--- a/src/office/list.hpp
+++ b/src/office/list.hpp
@@ -40,6 +40,6 @@
 std::optional<ExchangeList> decodeList(std::span<const std::uint8_t> datagram);
 
 /// What an office sends that wants to be told.
-inline constexpr std::string_view kAsk = "thistlefold ask 1\n";
+inline constexpr std::string_view kListRequest = "thistlefold ask 1\n";
 
 }  // namespace thistlefold
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -45,9 +45,9 @@
 
 /// Another office with the exchange behind it, or (the own place) the own exchange.
 struct Office::Peer : Exchange {
-  Peer(const Place& at, TrunkGroup group) : site(at), trunk(group) {}
+  Peer(const ExchangeSite& at, TrunkGroup group) : site(at), trunk(group) {}
 
-  const Place& site;
+  const ExchangeSite& site;
   TrunkGroup trunk;
   Readiness told = Readiness::gone;
   std::uint64_t start = 0;               // the directory's mark of its processor
@@ -142,15 +142,15 @@
       started_(now),
       endpoint_(*this, setting.seed ^ static_cast<std::uint64_t>((now - Instant()).ms() * 1000), setting.timing),
       startMark_(static_cast<std::uint64_t>((now - Instant()).ms() * 1000)) {
-  controller_ = make(fleet.data, setting.seed);
-  for (const Place& place : fleet.places) {
+  controller_ = make(fleet.config, setting.seed);
+  for (const ExchangeSite& place : fleet.places) {
     const auto known = std::find(zoneNames_.begin(), zoneNames_.end(), place.zone);
     zoneOf_.push_back(static_cast<int>(known - zoneNames_.begin()));
     if (known == zoneNames_.end()) zoneNames_.push_back(place.zone);
   }
   std::vector<zones::Kind> kinds;
   for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
-    const Service& service = fleet.data.services[i];
+    const Service& service = fleet.config.services[i];
     const double circuitSeconds = fleet.offeredServices[i].width * std::max(1.0, service.meanHold.ms()) / 1000;
     kinds.push_back({fleet.offeredServices[i].width, service.value / circuitSeconds, service.meanHold});
   }
@@ -217,7 +217,7 @@
 void Office::onIncomingCall(iax2::Call& call, const iax2::Frame& frame) {
   const auto peer = byOffice_.find(call.peer());
   if (stopping_) return reject(call, ReleaseReason::none, kOutOfOrder, "going out of service", Span::ms(1000));
-  if (held_.size() >= setting_.mostSessions) {
+  if (held_.size() >= setting_.maxSessions) {
     ++counters_.overFull;
     return reject(call, ReleaseReason::processorFull, kCongestion, "office full", Span::ms(1000));
   }
@@ -247,31 +247,32 @@
   held.wasCut = e.wasCut.value_or(false);
   held.in = &newLeg(held, call, nullptr, 0, false);
   ++counters_.dialled;
-  tell(OfficeEvent::What::taken, &held, nullptr, "");
+  tell(OfficeEvent::Kind::taken, &held, nullptr, "");
   event(Event(Event::Kind::incoming, &held));
 }
 
 void Office::fromPeer(Peer& peer, iax2::Call& call, const iax2::Frame& frame) {
   const iax2::Elements& e = frame.elements;
   const int service = fleet_.service(e.calledContext);
-  if (!e.session || !e.towards || !e.width || !e.timeLeft || !e.started) {
+  if (!e.session || !e.destinationPlace || !e.width || !e.timeLeftMs || !e.incarnation) {
     ++counters_.unreadable;  // cut short, as above
     return;
   }
-  if (*e.width == 0 || *e.width > 1000 || service < 0 || *e.towards >= peers_.size() || *e.towards == peer.place) {
+  if (*e.width == 0 || *e.width > 1000 || service < 0 || *e.destinationPlace >= peers_.size() ||
+      *e.destinationPlace == peer.place) {
     return reject(call, ReleaseReason::noRoute, kInvalid, "not a session of this fleet", Span::none());
   }
   const int width = *e.width;
-  const std::uint64_t mark = *e.started;
+  const std::uint64_t mark = *e.incarnation;
   std::optional<zones::Key> mirrored;
   if (const int there = zoneOf_[static_cast<std::size_t>(peer.place)],
       here = zoneOf_[static_cast<std::size_t>(setting_.place)];
       there != here) {
     // Whose session it is stands in its number's highest bits.
     const bool own = *e.session >> 52 == static_cast<std::uint64_t>(peer.place + 1);
-    const zones::LegKind way = !own                           ? zones::LegKind::second
-                               : *e.towards == setting_.place ? zones::LegKind::direct
-                                                              : zones::LegKind::first;
+    const zones::LegKind way = !own                                    ? zones::LegKind::second
+                               : *e.destinationPlace == setting_.place ? zones::LegKind::direct
+                                                                       : zones::LegKind::first;
     mirrored = zones::Key{there, here, service, way};
     ++peerUsage_.of(peer.place, mark, *mirrored).invites;
   }
@@ -282,7 +283,7 @@
   changed(peer);
   Held& held = newHeld(*e.session, frame, static_cast<std::size_t>(service));
   held.width = width;
-  held.destination = peers_[*e.towards].get();
+  held.destination = peers_[*e.destinationPlace].get();
   held.transit = true;
   held.in = &newLeg(held, call, &peer, width, false);
   held.in->mirrored = mirrored;
@@ -304,11 +305,11 @@
   held.self = self;
   held.id = id;
   held.offer = service;
-  held.service = &fleet_.data.services[service];
+  held.service = &fleet_.config.services[service];
   held.called = frame.elements.calledNumber;
   held.calling = frame.elements.callingNumber.substr(0, kLongestNumber);
   Span limit = held.service->timerLimit;
-  if (frame.elements.timeLeft) limit = std::min(limit, Span::ms(*frame.elements.timeLeft));
+  if (frame.elements.timeLeftMs) limit = std::min(limit, Span::ms(*frame.elements.timeLeftMs));
   held.timerLimit = now_ + limit;
   // The module only compares numbers; those that are no plain digits still differ from each other.
   for (const char c : held.called) {
@@ -342,11 +343,11 @@
   e.calledContext = fleet_.offeredServices[held.offer].name;
   e.session = held.id;
   e.origin = static_cast<std::uint16_t>(setting_.place);
-  e.towards = static_cast<std::uint16_t>(towards);
+  e.destinationPlace = static_cast<std::uint16_t>(towards);
   e.width = static_cast<std::uint16_t>(held.width);
-  e.timeLeft = milliseconds(timeLeft);
+  e.timeLeftMs = milliseconds(timeLeft);
   // With its last element gone, a NEW that was cut short is known as such; and the far end's account knows whose it is.
-  e.started = startMark_;
+  e.incarnation = startMark_;
   return e;
 }
 
@@ -357,8 +358,8 @@
     leg.inDoubt = false;
     leg.peer->trunk.answered(leg.circuits);
   }
-  if (leg.peer != nullptr && leg.out && e.canTake) {
-    const double canTake = *e.canTake / 1000.0;
+  if (leg.peer != nullptr && leg.out && e.capacityPer1000s) {
+    const double canTake = *e.capacityPer1000s / 1000.0;
     if (leg.peer->own) {
       own_->canTake = canTake;
       own_->canTakeAt = now_;
@@ -400,13 +401,13 @@
   if (held->state == Held::State::standing) {
     if (!bye) return;
     unlink(leg);
-    return over(*held, e.why == ReleaseReason::reset || e.causeCode == kOutOfOrder, &leg);
+    return over(*held, e.releaseReason == ReleaseReason::reset || e.causeCode == kOutOfOrder, &leg);
   }
   if (!bye) hangUp(leg, ReleaseReason::none, kNormal);
   unlink(leg);
-  const Span wait = Span::ms(e.wait.value_or(0));
+  const Span wait = Span::ms(e.retryAfterMs.value_or(0));
   const std::uint8_t code = e.causeCode.value_or(0);
-  switch (e.why.value_or(ReleaseReason::none)) {
+  switch (e.releaseReason.value_or(ReleaseReason::none)) {
     case ReleaseReason::noCircuit:
       return failed(*held, InviteOutcome::overloaded, BlockingReason::noCircuit, false, Span::none());
     case ReleaseReason::turnedBack:
@@ -437,15 +438,15 @@
 void Office::onCallEnded(Leg& leg, iax2::CallEnd how) {
   Held* held = leg.held;
   const bool out = leg.out;
-  const bool cut = how != iax2::CallEnd::finished && how != iax2::CallEnd::hungUp;
+  const bool cut = how != iax2::CallEnd::localHangUp && how != iax2::CallEnd::remoteHangUp;
   unlink(leg);
   settle(leg);
   if (held == nullptr) return;
   if (held->state == Held::State::standing) return over(*held, cut, nullptr);
   if (held->state == Held::State::over) return;
   if (!out) return callerLeft(*held);
-  failed(*held, how == iax2::CallEnd::unanswered ? InviteOutcome::timedOut : InviteOutcome::reset, BlockingReason::none,
-         false, Span::none());
+  failed(*held, how == iax2::CallEnd::unacknowledged ? InviteOutcome::timedOut : InviteOutcome::reset,
+         BlockingReason::none, false, Span::none());
 }
 
 // ---- The course of a session -----------------------------------------------------------------------------
@@ -463,8 +464,8 @@
   if (held.kind == Held::Kind::terminating) return;
   held.cell = held.out->cell;
   if (held.cell != nullptr) held.cell->stood(now_);
-  if (held.kind == Held::Kind::dialled) ++counters_.stood;
-  tell(OfficeEvent::What::stood, &held, held.at, "");
+  if (held.kind == Held::Kind::dialled) ++counters_.established;
+  tell(OfficeEvent::Kind::stood, &held, held.at, "");
   Event accepted(Event::Kind::accepted, &held);
   accepted.span = now_ - held.sentAt;
   event(accepted);
@@ -491,7 +492,7 @@
   }
   held.lastReason = reason;
   held.lastEnding = ending;
-  tell(OfficeEvent::What::ended, &held, held.at,
+  tell(OfficeEvent::Kind::ended, &held, held.at,
        ending == InviteOutcome::timedOut         ? "timed out"
        : ending == InviteOutcome::reset          ? "reset"
        : reason == BlockingReason::noCircuit     ? "no circuit"
@@ -519,7 +520,7 @@
     hangUp(*leg, cut ? ReleaseReason::reset : ReleaseReason::none, cut ? kOutOfOrder : kNormal);
   }
   if (held.kind != Held::Kind::terminating) {
-    tell(cut ? OfficeEvent::What::cut : OfficeEvent::What::ended, &held, held.at, cut ? "cut" : "");
+    tell(cut ? OfficeEvent::Kind::dropped : OfficeEvent::Kind::ended, &held, held.at, cut ? "cut" : "");
     Event ended(Event::Kind::ended, &held, held.at, cut ? InviteOutcome::reset : InviteOutcome::released);
     ended.final = true;
     event(ended);
@@ -554,9 +555,9 @@
     iax2::Elements e = withRoom(&held);
     e.cause = text;
     e.causeCode = code;
-    e.why = why;
+    e.releaseReason = why;
     if (beyond) e.beyond = true;
-    if (wait > Span::none()) e.wait = milliseconds(wait);
+    if (wait > Span::none()) e.retryAfterMs = milliseconds(wait);
     endpoint_.hangUp(now_, *leg->call, held.acceptedIn ? iax2::Iax::HANGUP : iax2::Iax::REJECT, e);
     unlink(*leg);
   }
@@ -567,8 +568,8 @@
   iax2::Elements e = withRoom(nullptr);
   e.cause = text;
   e.causeCode = code;
-  e.why = why;
-  if (wait > Span::none()) e.wait = milliseconds(wait);
+  e.releaseReason = why;
+  if (wait > Span::none()) e.retryAfterMs = milliseconds(wait);
   endpoint_.hangUp(now_, call, iax2::Iax::REJECT, e);
 }
 
@@ -576,7 +577,7 @@
 void Office::hangUp(Leg& leg, ReleaseReason why, std::uint8_t code) {
   iax2::Elements e;
   e.causeCode = code;
-  if (why != ReleaseReason::none) e.why = why;
+  if (why != ReleaseReason::none) e.releaseReason = why;
   endpoint_.hangUp(now_, *leg.call, iax2::Iax::HANGUP, e);
   unlink(leg);
 }
@@ -636,7 +637,7 @@
   iax2::Elements elements;
   if (held != nullptr) elements.session = held->id;
   if (own_->canTake >= 0 && now_ - own_->canTakeAt <= kRoomFresh) {
-    elements.canTake = static_cast<std::uint32_t>(own_->canTake * 1000);
+    elements.capacityPer1000s = static_cast<std::uint32_t>(own_->canTake * 1000);
   }
   return elements;
 }
@@ -708,7 +709,7 @@
   }
 }
 
-void Office::budgets(Instant now, const std::vector<zones::Budget>& budgets) {
+void Office::updateBudgets(Instant now, const std::vector<zones::Budget>& budgets) {
   now_ = now;
   setBudgets(budgets);
 }
@@ -807,7 +808,7 @@
   due(held, now_ + giveUpAfter);
   ++counters_.invites;
   if (&peer != held.destination) ++counters_.twoLeg;
-  tell(OfficeEvent::What::invited, &held, &peer, "");
+  tell(OfficeEvent::Kind::invited, &held, &peer, "");
   if (!held.acceptedIn && held.in != nullptr) {
     held.acceptedIn = true;
     endpoint_.send(now_, *held.in->call, iax2::Iax::ACCEPT, withRoom(&held));
@@ -845,7 +846,7 @@
       pool->refused(now_, held.offer);
     }
   }
-  tell(OfficeEvent::What::refused, &held, held.at,
+  tell(OfficeEvent::Kind::refused, &held, held.at,
        held.destination == nullptr                   ? "no such number"
        : held.lastReason == BlockingReason::lineBusy ? "line busy"
        : held.lastEnding == InviteOutcome::timedOut  ? "no answer in time"
@@ -868,11 +869,11 @@
 void Office::scheduleWakeUp(Span delay) { wakeAt_ = now_ + delay; }
 
 void Office::subscribe() {
-  texts_.emplace_back(fleet_.directory, std::string(kAsk));
+  texts_.emplace_back(fleet_.directory, std::string(kListRequest));
   askedAt_ = now_;
 }
 
-void Office::tell(OfficeEvent::What what, const Held* held, const Peer* peer, std::string_view reason) const {
+void Office::tell(OfficeEvent::Kind what, const Held* held, const Peer* peer, std::string_view reason) const {
   if (!observer_) return;
   observer_({what, held == nullptr ? 0 : held->id, peer == nullptr ? std::string_view() : peer->site.name, reason});
 }
@@ -953,7 +954,7 @@
 iax2::Elements Office::pongElements(iax2::Address) {
   iax2::Elements e = withRoom(nullptr);
   e.origin = static_cast<std::uint16_t>(setting_.place);
-  e.started = startMark_;
+  e.incarnation = startMark_;
   return e;
 }
 
@@ -961,14 +962,14 @@
   pokeAt_ = Instant::never();
   for (const auto& peer : peers_) {
     if (!peer->own && peer->trunk.size() == 0) continue;
-    const Span every = peer->own ? setting_.exchangePoke : setting_.peerPoke;
+    const Span every = peer->own ? setting_.exchangePokeInterval : setting_.peerPokeInterval;
     if (now_ - peer->pokedAt >= every) {
       // Silence counts from the first POKE that could have been answered: an office that was not run itself has
       // asked nobody.
       if (now_ - peer->pokedAt > every * 3.0) peer->heardAt = now_;
       peer->pokedAt = now_;
       endpoint_.poke(now_, peer->own ? peer->site.processor : peer->site.office);
-      if (!peer->silent && now_ - peer->heardAt > setting_.peerSilent) lose(*peer, false);
+      if (!peer->silent && now_ - peer->heardAt > setting_.peerSilenceLimit) lose(*peer, false);
     }
     pokeAt_ = std::min(pokeAt_, peer->pokedAt + every);
   }
@@ -981,31 +982,31 @@
   } else if (const auto it = byOffice_.find(from); it != byOffice_.end()) {
     peer = it->second;
   }
-  if (peer == nullptr || !frame.elements.started) return;
+  if (peer == nullptr || !frame.elements.incarnation) return;
   // It was alive when the POKE was sent that this answers; when this came in says less, as it may have waited on the
   // way or here. One that answers an earlier POKE than has been answered is late, maybe of one that was started anew
   // since: marks alone don't tell which came first, as clocks may begin again. One that is as late as a silence is long
   // says nothing.
   const auto ago = static_cast<std::int32_t>(iax2::pokeStamp(now_) - frame.timestamp);
   const Instant aliveAt = now_ - Span::ms(ago);
-  if (ago < 0 || now_ - aliveAt > setting_.peerSilent || aliveAt + Span::ms(1) < peer->aliveAt) return;
-  if (peer->silent) tell(OfficeEvent::What::peerBack, nullptr, peer, "");
+  if (ago < 0 || now_ - aliveAt > setting_.peerSilenceLimit || aliveAt + Span::ms(1) < peer->aliveAt) return;
+  if (peer->silent) tell(OfficeEvent::Kind::peerBack, nullptr, peer, "");
   peer->silent = false;
-  const std::uint64_t mark = *frame.elements.started;
+  const std::uint64_t mark = *frame.elements.incarnation;
   if (peer != own_) peerUsage_.started(peer->place, mark);
   if (peer->mark != 0 && mark != peer->mark) lose(*peer, true);
   peer->mark = mark;
   peer->aliveAt = aliveAt;
   peer->heardAt = std::max(peer->heardAt, aliveAt);
-  if (peer == own_ && frame.elements.canTake) {
-    own_->canTake = *frame.elements.canTake / 1000.0;
+  if (peer == own_ && frame.elements.capacityPer1000s) {
+    own_->canTake = *frame.elements.capacityPer1000s / 1000.0;
     own_->canTakeAt = now_;
   }
 }
 
 /// A peer was started anew and knows none of its sessions, or has been silent for too long.
 void Office::lose(Peer& peer, bool restarted) {
-  tell(OfficeEvent::What::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
+  tell(OfficeEvent::Kind::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
   peer.silent = !restarted;
   // What it could take was said of the processor before.
   if (&peer == own_) own_->canTake = -1;
@@ -1022,7 +1023,7 @@
     }
     if (restarted) {
       endpoint_.forget(*leg->call);
-      onCallEnded(*leg, iax2::CallEnd::unknown);
+      onCallEnded(*leg, iax2::CallEnd::unknownCall);
     } else {
       cutLeg(*leg);
     }
@@ -1073,7 +1074,7 @@
     if (peer.told == readiness && peer.started == started) return;
     peer.told = readiness;
     if (&peer == own_) own_->canTake = -1;
-    tell(OfficeEvent::What::listed, nullptr, &peer,
+    tell(OfficeEvent::Kind::listed, nullptr, &peer,
          readiness == Readiness::ready      ? "ready"
          : readiness == Readiness::draining ? "draining"
                                             : "gone");
@@ -1114,7 +1115,7 @@
   return &ledger_.cell({from, there, static_cast<int>(held.offer), way});
 }
 
-const TrunkGroup* Office::trunk(int place) const {
+const TrunkGroup* Office::trunkGroup(int place) const {
   const Peer& peer = *peers_[static_cast<std::size_t>(place)];
   return peer.own || peer.trunk.size() == 0 ? nullptr : &peer.trunk;
 }
@@ -1131,7 +1132,7 @@
                                                           {"terminating", counters_.terminating},
                                                           {"invites", counters_.invites},
                                                           {"two_leg", counters_.twoLeg},
-                                                          {"stood", counters_.stood},
+                                                          {"stood", counters_.established},
                                                           {"refused", counters_.refused},
                                                           {"abandoned", counters_.abandoned},
                                                           {"cut", counters_.cut},
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -31,8 +31,8 @@
 
 /// What an office tells those who watch it. Logs are written from this; nothing flows back.
 struct OfficeEvent {
-  enum class What { taken, invited, stood, ended, refused, cut, peerLost, peerBack, listed };
-  What what;
+  enum class Kind { taken, invited, stood, ended, refused, dropped, peerLost, peerBack, listed };
+  Kind kind;
   std::uint64_t session = 0;
   std::string_view exchange;  // the other place involved, or empty
   std::string_view reason;
@@ -46,17 +46,17 @@
 struct OfficeOptions {
   int place = 0;
   std::uint64_t seed = 1;
-  std::size_t mostSessions = 20000;  // held at once; a NEW beyond is refused at once, counted
-  Span peerPoke = Span::ms(1000);    // how often other offices are asked for a sign of life
-  Span peerSilent = Span::ms(6000);  // silence after which sessions over a peer are given up: six signs missed
-  Span exchangePoke = Span::ms(300);
+  std::size_t maxSessions = 20000;         // held at once; a NEW beyond is refused at once, counted
+  Span peerPokeInterval = Span::ms(1000);  // how often other offices are asked for a sign of life
+  Span peerSilenceLimit = Span::ms(6000);  // silence after which sessions over a peer are given up: six signs missed
+  Span exchangePokeInterval = Span::ms(300);
   iax2::DialogueTiming timing;
 };
 
 /// Counts since the start. Stood, refused, abandoned and cut are sessions dialled here; what is in transit or
 /// terminating belongs to the office where it was dialled.
 struct OfficeCounters {
-  std::uint64_t dialled = 0, transit = 0, terminating = 0, invites = 0, twoLeg = 0, stood = 0, refused = 0,
+  std::uint64_t dialled = 0, transit = 0, terminating = 0, invites = 0, twoLeg = 0, established = 0, refused = 0,
                 abandoned = 0, cut = 0, turnedBack = 0, noCircuit = 0, timedOut = 0, reset = 0, overFull = 0,
                 rounds = 0, listsTaken = 0, listsStale = 0, unreadable = 0;
 };
@@ -78,14 +78,14 @@
   bool stopped() const { return stopping_ && legs_.empty() && held_.empty(); }
 
   const OfficeCounters& counters() const { return counters_; }
-  const iax2::Counts& wire() const { return endpoint_.counts(); }
+  const iax2::EndpointCounters& wire() const { return endpoint_.counts(); }
   std::size_t sessions() const { return held_.size(); }
-  std::size_t standing() const { return standing_; }
+  std::size_t establishedSessions() const { return standing_; }
   /// This end's count of the group to `place`; null where there is none.
-  const TrunkGroup* trunk(int place) const;
+  const TrunkGroup* trunkGroup(int place) const;
   Readiness told(int place) const;
   /// Budgets between zones from now on: new legs obey, standing ones are left to end unless the budget says else.
-  void budgets(Instant now, const std::vector<zones::Budget>& budgets);
+  void updateBudgets(Instant now, const std::vector<zones::Budget>& budgets);
   /// Its account of what crossed zones, up to `now`, as one JSON object, for `thistlefold zones`.
   std::string zonesReport(Instant now);
   /// The last seconds, minutes or hours of what crossed to a zone, by service, newest first.
@@ -93,7 +93,7 @@
   /// The state as one JSON object, for `thistlefold status`.
   std::string report(Instant now) const;
   /// What a question of `thistlefold status` or `zones` is answered (docs/wire.md); nothing if it is none.
-  std::optional<std::string> answer(Instant now, std::string_view question);
+  std::optional<std::string> answerQuery(Instant now, std::string_view question);
 
  private:
   struct Held;
@@ -148,7 +148,7 @@
   Held& newHeld(std::uint64_t id, const iax2::Frame& frame, std::size_t service);
   void event(Event event);
   void changed(Peer& peer);
-  void tell(OfficeEvent::What what, const Held* held, const Peer* peer, std::string_view reason) const;
+  void tell(OfficeEvent::Kind what, const Held* held, const Peer* peer, std::string_view reason) const;
   iax2::Elements opening(const Held& held, int towards, Span timeLeft) const;
   iax2::Elements withRoom(const Held* held) const;
   void sweep();
--- a/src/office/trunk_group.hpp
+++ b/src/office/trunk_group.hpp
@@ -13,7 +13,7 @@
   TrunkGroup(int size, bool controlling) : size_(size), controlling_(controlling) {}
 
   int size() const { return size_; }
-  int held() const { return held_; }
+  int circuitsInUse() const { return held_; }
   int free() const { return std::max(0, size_ - held_); }
 
   /// For a session that goes out. False: no circuit, nothing taken.
--- a/src/office/zones_report.cpp
+++ b/src/office/zones_report.cpp
@@ -127,7 +127,7 @@
   return out.str();
 }
 
-std::optional<std::string> Office::answer(Instant now, std::string_view question) {
+std::optional<std::string> Office::answerQuery(Instant now, std::string_view question) {
   if (question == "thistlefold status 1\n") return report(now);
   if (question == "thistlefold zones 1\n") return zonesReport(now);
   constexpr std::string_view kSeries = "thistlefold series 1 ";
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -125,7 +125,7 @@
     service.meanHold = span(f, "mean-hold", 1);
     service.repeatable = f.yes("repeatable");
     fleet.offeredServices.push_back(offer);
-    fleet.data.services.push_back(service);
+    fleet.config.services.push_back(service);
   }
   if (fleet.offeredServices.empty()) fields.list().fail("at least one (service NAME ...) is expected");
 }
@@ -134,22 +134,22 @@
   Form none;
   const Form* given = fields.find("rules");
   const Fields f(given == nullptr ? none : *given, 1, kRules);
-  fleet.data.maxInvites = f.whole("most-invites", 1, 100);
-  fleet.data.releaseTime = span(f, "release");
+  fleet.config.maxInvites = f.whole("most-invites", 1, 100);
+  fleet.config.releaseTime = span(f, "release");
   fleet.drainGrace = span(f, "drain-grace");
-  fleet.data.coldCapacityShare = f.number("cold-from", 0, 1);
-  fleet.data.warmUpTime = span(f, "warm-after");
-  fleet.data.overloadFactor = f.number("fall-multiple", 0, 1000);
-  fleet.data.overloadWindow = span(f, "tip-after");
-  fleet.data.honoursRetryAfter = f.yes("retry-after");
-  fleet.data.longestRetryAfter = span(f, "longest-retry-after");
-  fleet.data.mustSubscribe = f.yes("ask");
-  fleet.data.listStaleAfter = Span::ms(5000);
+  fleet.config.coldCapacityShare = f.number("cold-from", 0, 1);
+  fleet.config.warmUpTime = span(f, "warm-after");
+  fleet.config.overloadFactor = f.number("fall-multiple", 0, 1000);
+  fleet.config.overloadWindow = span(f, "tip-after");
+  fleet.config.honoursRetryAfter = f.yes("retry-after");
+  fleet.config.longestRetryAfter = span(f, "longest-retry-after");
+  fleet.config.mustSubscribe = f.yes("ask");
+  fleet.config.listStaleAfter = Span::ms(5000);
 }
 
 void readExchanges(const Fields& fields, Fleet& fleet, bool placed) {
   for (const Form* one : fields.all("exchange")) {
-    Place place;
+    ExchangeSite place;
     place.name = nameOf(*one, "exchange");
     if (fleet.place(place.name) >= 0) one->fail("exchange '" + place.name + "' stands twice");
     const Fields f(*one, 2, kExchange);
@@ -158,7 +158,7 @@
     const bool digits = std::all_of(place.numbers.begin(), place.numbers.end(),
                                     [](char c) { return (c >= '0' && c <= '9') || c == '*' || c == '#'; });
     if (!digits || place.numbers.size() > 16) f.find("numbers")->items[1].fail("1 to 16 digits are expected");
-    for (const Place& other : fleet.places) {
+    for (const ExchangeSite& other : fleet.places) {
       if (other.numbers == place.numbers) {
         f.find("numbers")->items[1].fail("numbers " + place.numbers + " belong to exchange '" + other.name + "'");
       }
@@ -171,7 +171,7 @@
         one->fail(std::string("(") + word + " ADDRESS:PORT) is missing");
       }
     }
-    place.setUpsASecond = f.number("capacity", 0.1, 1e6);
+    place.setUpsPerSecond = f.number("capacity", 0.1, 1e6);
     fleet.places.push_back(place);
   }
 }
@@ -185,7 +185,7 @@
       *ends[i] = fleet.place(asText(one->items[i + 1]));
       if (*ends[i] >= 0) continue;
       std::vector<std::string_view> known;
-      for (const Place& place : fleet.places) known.push_back(place.name);
+      for (const ExchangeSite& place : fleet.places) known.push_back(place.name);
       unknownWord(one->items[i + 1], one->items[i + 1].value, known);
     }
     if (group.a == group.b) one->fail("two different exchanges are expected");
@@ -218,12 +218,12 @@
   const auto lot = [&] { return std::generate_canonical<double, 32>(chance); };
   const int before = static_cast<int>(fleet.places.size());
   for (int i = 0; i < count; ++i) {
-    Place place;
+    ExchangeSite place;
     place.name = "e" + std::to_string(i + 1);
     if (fleet.place(place.name) >= 0) form.fail("exchange '" + place.name + "' stands twice");
     place.zone = zones[static_cast<std::size_t>(i) % zones.size()];
     place.numbers = std::to_string(1000 + before + i);
-    place.setUpsASecond = f.number("capacity", 0.1, 1e6);
+    place.setUpsPerSecond = f.number("capacity", 0.1, 1e6);
     fleet.places.push_back(place);
   }
   for (int a = before; a < before + count; ++a) {
@@ -330,22 +330,23 @@
   out.precision(15);
   out << "(fleet\n";
   for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
-    const Service& s = fleet.data.services[i];
+    const Service& s = fleet.config.services[i];
     out << "  (service " << fleet.offeredServices[i].name << " (width " << fleet.offeredServices[i].width << ") (value "
         << s.value << ") (late-value " << s.lateValue << ") (post-dial-target " << s.postDialTarget.ms()
         << ")\n           "
         << "(timer-limit " << s.timerLimit.ms() << ") (mean-hold " << s.meanHold.ms() << ") (repeatable "
         << (s.repeatable ? "yes" : "no") << "))\n";
   }
-  const OfficeConfig& d = fleet.data;
+  const OfficeConfig& d = fleet.config;
   out << "  (rules (most-invites " << d.maxInvites << ") (release " << d.releaseTime.ms() << ") (drain-grace "
       << fleet.drainGrace.ms() << ") (cold-from " << d.coldCapacityShare << ")\n         (warm-after "
       << d.warmUpTime.ms() << ") (fall-multiple " << d.overloadFactor << ") (tip-after " << d.overloadWindow.ms()
       << ") (retry-after " << (d.honoursRetryAfter ? "yes" : "no") << ")\n         (longest-retry-after "
       << d.longestRetryAfter.ms() << ") (ask " << (d.mustSubscribe ? "yes" : "no") << "))\n";
-  for (const Place& p : fleet.places) {
+  for (const ExchangeSite& p : fleet.places) {
     out << "  (exchange " << p.name << " (zone \"" << p.zone << "\") (numbers \"" << p.numbers << "\") (office \""
-        << text(p.office) << "\") (processor \"" << text(p.processor) << "\") (capacity " << p.setUpsASecond << "))\n";
+        << text(p.office) << "\") (processor \"" << text(p.processor) << "\") (capacity " << p.setUpsPerSecond
+        << "))\n";
   }
   for (const Group& g : fleet.groups) {
     out << "  (group " << fleet.places[static_cast<std::size_t>(g.a)].name << ' '
@@ -378,7 +379,7 @@
   file.setting.place = file.fleet.place(name);
   if (file.setting.place < 0) {
     std::vector<std::string_view> known;
-    for (const Place& place : file.fleet.places) known.push_back(place.name);
+    for (const ExchangeSite& place : file.fleet.places) known.push_back(place.name);
     unknownWord(form.items[1], name, known);
   }
   file.listen = file.fleet.places[static_cast<std::size_t>(file.setting.place)].office;
@@ -387,13 +388,13 @@
     file.listen = asAddress(listen->items[1]);
   }
   file.setting.seed = static_cast<std::uint64_t>(f.number("seed", 0, 9e15));
-  file.setting.mostSessions = static_cast<std::size_t>(f.whole("sessions", 1, 1000000));
-  file.setting.peerPoke = span(f, "poke", 10);
-  file.setting.peerSilent = span(f, "silent", 100);
-  file.setting.exchangePoke = span(f, "exchange-poke", 10);
-  file.setting.timing.firstRepeat = span(f, "first-repeat", 1);
-  file.setting.timing.repeats = f.whole("repeats", 0, 20);
-  file.setting.timing.ping = span(f, "ping", 100);
+  file.setting.maxSessions = static_cast<std::size_t>(f.whole("sessions", 1, 1000000));
+  file.setting.peerPokeInterval = span(f, "poke", 10);
+  file.setting.peerSilenceLimit = span(f, "silent", 100);
+  file.setting.exchangePokeInterval = span(f, "exchange-poke", 10);
+  file.setting.timing.firstRetransmitInterval = span(f, "first-repeat", 1);
+  file.setting.timing.maxRetransmits = f.whole("repeats", 0, 20);
+  file.setting.timing.pingInterval = span(f, "ping", 100);
   if (const Form* log = f.find("log")) {
     const Fields l(*log, 1, kLog);
     file.log.level = l.text("level");
--- a/src/simulators/callers.cpp
+++ b/src/simulators/callers.cpp
@@ -14,12 +14,12 @@
       ++callers.served_[service()].answers;
       const Span delay = callers.now_ - firstDialled;
       callers.delays_.push_back(static_cast<float>(delay.ms()));
-      inTime = delay <= callers.fleet_.data.services[service()].postDialTarget;
+      inTime = delay <= callers.fleet_.config.services[service()].postDialTarget;
       callers.cancel(*this);
       callers.later(callers.now_ + dial.hold, *this, Act::hangUp);
     } else if (frame.is(iax2::Iax::HANGUP) || frame.is(iax2::Iax::REJECT)) {
       cause = frame.elements.causeCode.value_or(0);
-      told = Span::ms(frame.elements.wait.value_or(0));
+      told = Span::ms(frame.elements.retryAfterMs.value_or(0));
     }
   }
   void onCallEnded(iax2::Call&, iax2::CallEnd how) override {
@@ -38,7 +38,7 @@
       dial.hold = dial.hold * 0.5;
       return callers.later(firstDialled, *this, Act::dial);
     }
-    callers.tried(*this, how == iax2::CallEnd::hungUp, cause, told);
+    callers.tried(*this, how == iax2::CallEnd::remoteHangUp, cause, told);
   }
   std::size_t service() const { return static_cast<std::size_t>(dial.service); }
 
@@ -124,7 +124,7 @@
   want.firstDialled = now_;
   Served& served = served_[want.service()];
   ++served.offered;
-  const double value = fleet_.data.services[want.service()].value;
+  const double value = fleet_.config.services[want.service()].value;
   served.value += value;
   want.second = static_cast<std::size_t>(std::max(0.0, (now_ - begin_).ms() / 1000));
   if (seconds_.size() <= want.second) seconds_.resize(want.second + 1);
@@ -138,7 +138,7 @@
   ++served_[want.service()].tries;
   want.cause = 0;
   want.told = Span::none();
-  const Service& service = fleet_.data.services[want.service()];
+  const Service& service = fleet_.config.services[want.service()];
   const Span limit = service.timerLimit * behaviour_.tryShare;
   iax2::Elements e;
   e.version = std::uint16_t{2};
@@ -150,7 +150,7 @@
       std::to_string(want.dial.office) + "-" + std::to_string(static_cast<int>(500 * std::pow(share, 3.3)));
   e.callingNumber = user;
   e.calledContext = fleet_.offeredServices[want.service()].name;
-  e.timeLeft = static_cast<std::uint32_t>(limit.ms());
+  e.timeLeftMs = static_cast<std::uint32_t>(limit.ms());
   if (want.wasCut) e.wasCut = true;
   const auto office = static_cast<std::size_t>(want.dial.office);
   want.call = endpoint_.open(now_, fleet_.places[office].office, &want, e);
@@ -170,7 +170,7 @@
 
 void SimulatedCallers::finish(Want& want) {
   Served& served = served_[want.service()];
-  const Service& service = fleet_.data.services[want.service()];
+  const Service& service = fleet_.config.services[want.service()];
   Second& second = seconds_[want.second];
   if (want.standing) {
     const double earned = want.inTime ? service.value : service.value * service.lateValue;
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -64,7 +64,7 @@
   /// Post-dial delays of sessions that stood, in ms.
   const std::vector<float>& delays() const { return delays_; }
   std::size_t active() const { return wants_.size() + planned_.size(); }
-  const iax2::Counts& wire() const { return endpoint_.counts(); }
+  const iax2::EndpointCounters& wire() const { return endpoint_.counts(); }
 
  private:
   struct Want;
--- a/src/simulators/directory.cpp
+++ b/src/simulators/directory.cpp
@@ -21,7 +21,7 @@
 }
 
 void SimulatedDirectory::receive(Instant, iax2::Address from, std::span<const std::uint8_t> datagram) {
-  if (std::equal(datagram.begin(), datagram.end(), kAsk.begin(), kAsk.end())) asked_.push_back(from);
+  if (std::equal(datagram.begin(), datagram.end(), kListRequest.begin(), kListRequest.end())) asked_.push_back(from);
 }
 
 void SimulatedDirectory::learns(Instant now, int place, Readiness readiness, std::uint64_t start, Span notice) {
--- a/src/simulators/exchange.cpp
+++ b/src/simulators/exchange.cpp
@@ -95,7 +95,7 @@
     ++counters_.cut;
     iax2::Elements e;
     e.causeCode = std::uint8_t{38};
-    e.why = iax2::ReleaseReason::reset;
+    e.releaseReason = iax2::ReleaseReason::reset;
     endpoint_.hangUp(now, *taken.call, iax2::Iax::HANGUP, e);
   }
 }
@@ -119,7 +119,7 @@
 
 iax2::Elements SimulatedExchange::pongElements(iax2::Address) {
   iax2::Elements e = hung_ ? iax2::Elements() : told();
-  e.started = mark_;
+  e.incarnation = mark_;
   return e;
 }
 
@@ -196,9 +196,9 @@
 void SimulatedExchange::refuse(Taken& taken, iax2::ReleaseReason why, std::uint8_t code, Span wait) {
   if (taken.call == nullptr) return;
   iax2::Elements e = told();
-  e.why = why;
+  e.releaseReason = why;
   e.causeCode = code;
-  if (wait > Span::none()) e.wait = static_cast<std::uint32_t>(wait.ms());
+  if (wait > Span::none()) e.retryAfterMs = static_cast<std::uint32_t>(wait.ms());
   endpoint_.hangUp(now_, *taken.call, iax2::Iax::REJECT, e);
 }
 
@@ -214,7 +214,7 @@
   for (const auto& [at, ms] : worked_) used += now_ - at <= Span::ms(1000) ? ms : 0;
   const double whole = speed() * 1000 / (model_.setUpWork + 2 * model_.followWork);
   iax2::Elements e;
-  e.canTake = static_cast<std::uint32_t>(1000 * whole * std::clamp(1 - used / 1000, 0.0, 1.0));
+  e.capacityPer1000s = static_cast<std::uint32_t>(1000 * whole * std::clamp(1 - used / 1000, 0.0, 1.0));
   return e;
 }
 
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 audit::Findings play(FleetFixture& fixture, const std::function<void(TestPhone&)>& what) {
-  fixture.open();
+  fixture.start();
   TestPhone phone(99);
   fixture.testbed().place(day::kCallers, phone);
   fixture.note("begin");
@@ -59,7 +59,7 @@
 TEST_CASE("rule 3: a controller that sends to a drained exchange") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule3");
   const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+    fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
     fixture.run(400);  // within the grace
     dial(fixture, phone, 0, "210001");
     fixture.run(1000);
@@ -73,7 +73,7 @@
 TEST_CASE("rule 4: a controller that rushes a cold exchange") {
   FleetFixture fixture(smallFleet(2, 300), rogueController(), "rule4");
   const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.exchange(1, false);
+    fixture.startExchange(1, false);
     // 100 set-ups a second when warm, a third of that now: 150 within a second are more than three times as many.
     for (int i = 0; i < 170; ++i) {
       dial(fixture, phone, 0, "21" + std::to_string(1000 + i));
@@ -82,13 +82,13 @@
   });
   CHECK(findings.broken[4] > 0);
   CHECK(findings.nearestToCold > 1);
-  CHECK(fixture.at(1).fallen());
+  CHECK(fixture.exchange(1).fallen());
 }
 
 TEST_CASE("rule 5: a controller that does not await the release") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule5");
   const auto findings = play(fixture, [&](TestPhone& phone) {
-    fixture.at(1).hang(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
+    fixture.exchange(1).hang(fixture.now(), true);  // INVITEs time out after 400 ms and are sent again at once
     dial(fixture, phone, 0, "210001");
   });
   CHECK(findings.broken[5] > 0);
@@ -115,7 +115,7 @@
       CHECK(packet.to.port == 4570);
       CHECK(std::vector<std::uint8_t>(packet.payload.begin(), packet.payload.end()) == payload);
     } else {
-      CHECK(packet.from == capture::kScript);
+      CHECK(packet.from == capture::kScriptAddress);
     }
   });
   CHECK(packets == 2);
--- a/tests/program/days.cpp
+++ b/tests/program/days.cpp
@@ -87,7 +87,7 @@
   CHECK(day.plan.fleet.places.size() == 3);
   CHECK(day.plan.fleet.circuits(0, 1) == 20);
   CHECK(day.plan.fleet.circuits(0, 2) == 0);
-  CHECK(day.plan.fleet.places[1].setUpsASecond == doctest::Approx(50));
+  CHECK(day.plan.fleet.places[1].setUpsPerSecond == doctest::Approx(50));
   // 85 erlangs at half load and half scale, 1.5 circuits for a second each.
   CHECK(day.plan.rate == doctest::Approx(0.25 * 85 / 1.5));
   CHECK(day.plan.faults.size() == 1 + 2);  // two stalls of 0.7 s, half a second apart
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -30,21 +30,21 @@
   service.postDialTarget = Span::ms(2000);
   service.timerLimit = Span::ms(9000);
   service.meanHold = Span::ms(3000);
-  fleet.data.services = {service, service};
-  fleet.data.maxInvites = 6;
-  fleet.data.honoursRetryAfter = true;
-  fleet.data.longestRetryAfter = Span::ms(2000);
-  fleet.data.releaseTime = Span::ms(300);
-  fleet.data.coldCapacityShare = 0.3;
-  fleet.data.warmUpTime = Span::ms(8000);
-  fleet.data.overloadFactor = 3;
-  fleet.data.overloadWindow = Span::ms(1500);
+  fleet.config.services = {service, service};
+  fleet.config.maxInvites = 6;
+  fleet.config.honoursRetryAfter = true;
+  fleet.config.longestRetryAfter = Span::ms(2000);
+  fleet.config.releaseTime = Span::ms(300);
+  fleet.config.coldCapacityShare = 0.3;
+  fleet.config.warmUpTime = Span::ms(8000);
+  fleet.config.overloadFactor = 3;
+  fleet.config.overloadWindow = Span::ms(1500);
   for (int i = 0; i < places; ++i) {
-    Place place;
+    ExchangeSite place;
     place.name = "e" + std::to_string(i + 1);
     place.zone = "home";
     place.numbers = std::to_string(20 + i);
-    place.setUpsASecond = 100;
+    place.setUpsPerSecond = 100;
     fleet.places.push_back(place);
     for (int j = 0; j < i; ++j) fleet.groups.push_back({j, i, circuits});
   }
@@ -61,7 +61,7 @@
     iax2::Elements e;
     e.calledNumber = number;
     e.calledContext = service;
-    e.timeLeft = static_cast<std::uint32_t>(limit.ms());
+    e.timeLeftMs = static_cast<std::uint32_t>(limit.ms());
     now_ = now;
     iax2::Call* call = endpoint_.open(now, to, this, e);
     if (call != nullptr) dialled.push_back(call);
@@ -83,11 +83,11 @@
     return it == heard_.end() ? 0 : it->second;
   }
   int finals() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
-  std::deque<iax2::Call*> calls;    // that came in
-  std::deque<iax2::Call*> dialled;  // from here, and not over yet
+  std::deque<iax2::Call*> incomingCalls;  // that came in
+  std::deque<iax2::Call*> dialled;        // from here, and not over yet
   std::uint64_t lastSession = 0;
   std::uint8_t lastCause = 0;
-  iax2::CallEnd lastGone = iax2::CallEnd::finished;
+  iax2::CallEnd lastGone = iax2::CallEnd::localHangUp;
   int goneCount = 0;
 
  private:
@@ -95,14 +95,14 @@
     ++heard_["NEW"];
     lastSession = frame.elements.session.value_or(0);
     call.setOwner(this);
-    calls.push_back(&call);
+    incomingCalls.push_back(&call);
   }
   void onFrame(iax2::Call&, const iax2::Frame& frame) override {
     ++heard_[iax2::name(frame)];
     if (frame.elements.causeCode) lastCause = *frame.elements.causeCode;
   }
   void onCallEnded(iax2::Call& call, iax2::CallEnd how) override {
-    std::erase(calls, &call);
+    std::erase(incomingCalls, &call);
     std::erase(dialled, &call);
     lastGone = how;
     ++goneCount;
@@ -142,13 +142,13 @@
     std::filesystem::remove(path_);
   }
 
-  void open(bool withDirectory = true) {
+  void start(bool withDirectory = true) {
     if (withDirectory) testbed_->place(day::kDirectory, directory_);
-    for (std::size_t i = 0; i < exchanges_.size(); ++i) exchange(static_cast<int>(i), true);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) startExchange(static_cast<int>(i), true);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
     run(1500);
   }
-  SimulatedExchange& exchange(int place, bool warm) {
+  SimulatedExchange& startExchange(int place, bool warm) {
     auto& at = exchanges_[static_cast<std::size_t>(place)];
     if (at != nullptr) {
       testbed_->remove(day::processorIdentity(place));
@@ -165,9 +165,9 @@
     testbed_->place(day::processorIdentity(place), *at);
     return *at;
   }
-  SimulatedExchange& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
+  SimulatedExchange& exchange(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
   SimulatedDirectory& directory() { return directory_; }
-  void learns(int place, Readiness readiness, std::uint64_t mark) {
+  void setListedReadiness(int place, Readiness readiness, std::uint64_t mark) {
     directory_.learns(testbed_->now(), place, readiness, mark, Span::none());
     testbed_->wakeUp(day::kDirectory);
   }
@@ -201,7 +201,7 @@
 
   net::Impairment impairment;
   /// Fate of frames between offices, by place; all else takes five milliseconds.
-  void between(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
+  void impairBetweenOffices(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
     impairment = [this, what = std::move(what)](iax2::Address from, iax2::Address to,
                                                 std::vector<std::uint8_t>& bytes) {
       const std::vector<iax2::Address> all = offices();
@@ -216,7 +216,7 @@
  private:
   std::vector<iax2::Address> offices() const {
     std::vector<iax2::Address> all;
-    for (const Place& place : testbed_->fleet().places) all.push_back(place.office);
+    for (const ExchangeSite& place : testbed_->fleet().places) all.push_back(place.office);
     return all;
   }
   std::string path_;
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -51,7 +51,7 @@
       : chance_(seed), fixture_(fleetOf(seed), makeController, name), phone_(seed) {}
 
   Outcome play(double length) {
-    fixture_.open();
+    fixture_.start();
     fixture_.testbed().place(day::kCallers, phone_);
     fixture_.note("begin");
     fixture_.impairment = [this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>&) {
@@ -67,9 +67,9 @@
     for (int i = 0; i < kPlaces; ++i) {
       if (frozen_[i]) fixture_.freeze(i, frozen_[i] = false);
       if (down_[i]) start(i);
-      fixture_.at(i).hang(fixture_.now(), false);
+      fixture_.exchange(i).hang(fixture_.now(), false);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
-      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
+      fixture_.setListedReadiness(i, Readiness::ready, fixture_.exchange(i).mark());
     }
     // The latest copies of the unrest are eight seconds late, and a peer's silence is believed after six.
     fixture_.run(12000);
@@ -83,7 +83,7 @@
       for (int j = 0; j < kPlaces; ++j) {
         if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.atRest += "circuits are held; ";
       }
-      if (fixture_.at(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
+      if (fixture_.exchange(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
     }
     // Peace serves again what is offered.
     const int before = phone_.count("ANSWER");
@@ -146,21 +146,22 @@
       fixture_.testbed().killOffice(i);
       down_[i] = true;
     } else if (what < 0.94) {
-      fixture_.at(i).hang(fixture_.now(), lot() < 0.5);
+      fixture_.exchange(i).hang(fixture_.now(), lot() < 0.5);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
     } else if (what < 0.96) {
-      fixture_.learns(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.at(i).mark());
+      fixture_.setListedReadiness(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.exchange(i).mark());
     } else if (what < 0.965) {
       deafFrom_ = fixture_.office(i);
       deafTo_ = fixture_.office((i + 1) % kPlaces);
       deafUntil_ = fixture_.now() + Span::ms(8000 * lot());
     } else if (what < 0.98) {
       // Another processor in its place; the directory tells sooner or later.
-      fixture_.exchange(i, false);
-      fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.at(i).mark(), Span::ms(1500 * lot()));
+      fixture_.startExchange(i, false);
+      fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.exchange(i).mark(),
+                                  Span::ms(1500 * lot()));
       fixture_.testbed().wakeUp(day::kDirectory);
     } else {
-      fixture_.learns(i, Readiness::ready, fixture_.at(i).mark());
+      fixture_.setListedReadiness(i, Readiness::ready, fixture_.exchange(i).mark());
     }
   }
 
@@ -188,7 +189,7 @@
     const int number = name.size() == 2 ? name[1] - '1' : 0;
     return name == "caller"      ? day::kCallers
            : name == "directory" ? day::kDirectory
-           : name == "script"    ? capture::kScript
+           : name == "script"    ? capture::kScriptAddress
            : name[0] == 'x'      ? day::processorIdentity(number)
                                  : day::officeIdentity(number);
   };
@@ -224,10 +225,11 @@
         const std::string key = word.substr(0, word.find('=')), value = word.substr(word.find('=') + 1);
         iax2::Elements& e = frame.elements;
         if (key == "number") e.calledNumber = called = value;
-        if (key == "limit") e.timeLeft = static_cast<std::uint32_t>(std::stoul(value));
+        if (key == "limit") e.timeLeftMs = static_cast<std::uint32_t>(std::stoul(value));
         if (key == "session") e.session = std::stoull(value, nullptr, 16);
-        if (key == "towards") e.towards = static_cast<std::uint16_t>(std::stoul(value)), e.width = std::uint16_t{1};
-        if (key == "why") e.why = static_cast<iax2::ReleaseReason>(std::stoul(value));
+        if (key == "towards")
+          e.destinationPlace = static_cast<std::uint16_t>(std::stoul(value)), e.width = std::uint16_t{1};
+        if (key == "why") e.releaseReason = static_cast<iax2::ReleaseReason>(std::stoul(value));
         if (key == "times") times = std::stoi(value);
       }
     }
--- a/tests/program/iax2.cpp
+++ b/tests/program/iax2.cpp
@@ -91,21 +91,21 @@
   e.format = 4u;
   e.session = 0x123456789abcdef0u;
   e.origin = std::uint16_t{3};
-  e.towards = std::uint16_t{4};
+  e.destinationPlace = std::uint16_t{4};
   e.width = std::uint16_t{4};
-  e.timeLeft = 1234u;
-  e.wait = 99u;
-  e.why = ReleaseReason::turnedBack;
+  e.timeLeftMs = 1234u;
+  e.retryAfterMs = 99u;
+  e.releaseReason = ReleaseReason::turnedBack;
   e.beyond = true;
   e.wasCut = true;
-  e.canTake = 123456u;
-  e.started = 77u;
+  e.capacityPer1000s = 123456u;
+  e.incarnation = 77u;
   const auto wire = encode(FrameHeader(), e);
   Frame frame;
   REQUIRE(decode(wire, frame) == DecodeResult::full);
   CHECK(encode(frame, frame.elements) == wire);
   CHECK(frame.elements.session == e.session);
-  CHECK(frame.elements.why == ReleaseReason::turnedBack);
+  CHECK(frame.elements.releaseReason == ReleaseReason::turnedBack);
 }
 
 TEST_CASE("what is no frame is told apart") {
@@ -144,8 +144,8 @@
     Call* call = line.a.dial(line.now, kB, "2" + std::to_string(i));
     REQUIRE(call != nullptr);
     line.run(5000);
-    REQUIRE(line.b.calls.size() == 1);
-    Call* at = line.b.calls.front();
+    REQUIRE(line.b.incomingCalls.size() == 1);
+    Call* at = line.b.incomingCalls.front();
     line.b.endpoint().send(line.now, *at, Iax::ACCEPT);
     line.b.endpoint().send(line.now, *at, Control::answer);
     line.run(5000);
@@ -154,7 +154,7 @@
     line.a.endpoint().hangUp(line.now, *call, Iax::HANGUP, {});
     line.run(7000);
     CHECK(line.b.count("HANGUP") == hangups + 1);
-    CHECK(line.b.calls.empty());
+    CHECK(line.b.incomingCalls.empty());
   }
   CHECK(stood == 60);
   CHECK(line.b.count("NEW") == 60);
@@ -192,7 +192,7 @@
   line.run(1000);
   CHECK(line.b.count("NEW") == 1);
   CHECK(line.b.count("HANGUP") == 1);
-  CHECK(line.b.calls.empty());
+  CHECK(line.b.incomingCalls.empty());
 }
 
 TEST_CASE("a frame that goes missing is asked for with VNAK") {
@@ -206,7 +206,7 @@
     const bool drop = frame.is(Control::ringing) && dropped++ == 0;
     return drop ? std::vector<Span>() : std::vector<Span>{Span::ms(2)};
   };
-  Call* at = line.b.calls.front();
+  Call* at = line.b.incomingCalls.front();
   line.b.endpoint().send(line.now, *at, Control::ringing);
   line.b.endpoint().send(line.now, *at, Control::answer);
   line.run(30);  // well before any repeat
@@ -223,21 +223,21 @@
   line.spoil = [](std::vector<std::uint8_t>&) { return std::vector<Span>(); };
   line.run(9000);
   CHECK(line.a.goneCount == 1);
-  CHECK(line.a.lastGone == CallEnd::unanswered);
+  CHECK(line.a.lastGone == CallEnd::unacknowledged);
   CHECK(line.a.endpoint().counts().retransmitted == 6);
   line.spoil = nullptr;
   line.a.dial(line.now, kB, "2002");
   line.run(100);
-  line.b.endpoint().forget(*line.b.calls.front());
+  line.b.endpoint().forget(*line.b.incomingCalls.front());
   line.run(21000);  // the PING of a quiet call
   CHECK(line.a.goneCount == 2);
-  CHECK(line.a.lastGone == CallEnd::unknown);
+  CHECK(line.a.lastGone == CallEnd::unknownCall);
 }
 
 TEST_CASE("call numbers run out, are refused cleanly, and come back") {
   TestPhone a(1);
   DialogueTiming timing;
-  timing.mostCalls = 100000;
+  timing.maxCalls = 100000;
   struct Deaf : CallListener {
     void onIncomingCall(Call&, const Frame&) override {}
     void onPong(Address, const Frame&) override {}
@@ -265,7 +265,7 @@
     Elements pongElements(Address) override { return {}; }
   } listener;
   DialogueTiming timing;
-  timing.mostCalls = 3;
+  timing.maxCalls = 3;
   Endpoint endpoint(listener, 5, timing);
   for (int i = 0; i < 3; ++i) REQUIRE(endpoint.open(Instant::ms(1), kB, nullptr, {}) != nullptr);
   CHECK(endpoint.open(Instant::ms(1), kB, nullptr, {}) == nullptr);
@@ -276,7 +276,7 @@
   Line line;
   Call* call = line.a.dial(line.now, kB, "2001");
   line.run(50);
-  line.b.endpoint().send(line.now, *line.b.calls.front(), Iax::ACCEPT);
+  line.b.endpoint().send(line.now, *line.b.incomingCalls.front(), Iax::ACCEPT);
   line.run(50);
   const auto seeds = line.sentByA;
   std::mt19937 chance(11);
@@ -300,7 +300,7 @@
     line.b.receive(line.now, kA, wire);
     if (i % 50 == 0) line.b.process(line.now, [](Address, std::span<const std::uint8_t>) {});
   }
-  const Counts& counts = line.b.endpoint().counts();
+  const EndpointCounters& counts = line.b.endpoint().counts();
   CHECK(counts.received >= 200000);
   CHECK(counts.malformed > 1000);
   CHECK(line.b.endpoint().calls() <= 60000);
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -39,18 +39,18 @@
 
 TEST_CASE("a session stands, holds its circuits at both ends, and ends") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   iax2::Call* call = callers.dial(0, "210001");
   fixture.run(200);
   CHECK(callers.phone.count("ANSWER") == 1);
   CHECK(fixture.freeCircuits(0, 1) == 9);
   CHECK(fixture.freeCircuits(1, 0) == 9);
-  CHECK(fixture.at(1).standing() == 1);
+  CHECK(fixture.exchange(1).standing() == 1);
   callers.hangUp(*call);
   fixture.run(300);
   checkAtRest(fixture, 10);
-  CHECK(fixture.at(1).standing() == 0);
+  CHECK(fixture.exchange(1).standing() == 0);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.stood == 1);
@@ -58,7 +58,7 @@
 
 TEST_CASE("unknown numbers and services are refused once, with their own causes") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   callers.dial(0, "990001");
   fixture.run(100);
@@ -73,8 +73,8 @@
 
 TEST_CASE("an exchange that takes set-ups and answers none costs each session one answer in time") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.start();
+  fixture.exchange(1).hang(fixture.now(), true);
   Dialler callers(fixture);
   for (int i = 0; i < 5; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(3500);
@@ -89,9 +89,9 @@
 
 TEST_CASE("an ANSWER that crosses the HANGUP of a time-out is cleaned up and never stands") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   // The exchange's answer leaves at 20 ms or so; held back until just after the office has given up.
-  fixture.between([](int from, int to, const iax2::Frame& frame) {
+  fixture.impairBetweenOffices([](int from, int to, const iax2::Frame& frame) {
     const bool late = from == 1 && to == 0 && frame.is(iax2::Control::answer);
     return std::vector<Span>{late ? Span::ms(1985) : Span::ms(5)};
   });
@@ -101,22 +101,22 @@
   CHECK(callers.phone.count("ANSWER") == 0);
   CHECK(callers.phone.finals() == 1);
   CHECK(fixture.account(0, "timed_out") == 1);
-  CHECK(fixture.at(1).counters().stood == 1);
-  CHECK(fixture.at(1).standing() == 0);
+  CHECK(fixture.exchange(1).counters().stood == 1);
+  CHECK(fixture.exchange(1).standing() == 0);
   checkAtRest(fixture, 10);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("the last circuit seized from both ends at once: one session stands, one is turned back, counts agree") {
   FleetFixture fixture(smallFleet(2, 1));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   iax2::Call* a = callers.dial(0, "210001");
   iax2::Call* b = callers.dial(1, "200001");
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.at(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
-  CHECK(fixture.at(0).standing() == 0);
+  CHECK(fixture.exchange(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
+  CHECK(fixture.exchange(0).standing() == 0);
   CHECK(fixture.freeCircuits(0, 1) == 0);
   CHECK(fixture.freeCircuits(1, 0) == 0);
   callers.hangUp(*a);
@@ -146,19 +146,19 @@
 
 TEST_CASE("an office frozen through a drain's grace sends nothing there when it wakes") {
   FleetFixture fixture(smallFleet(3, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   fixture.freeze(0, true);
   fixture.run(100);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i), Span::ms(9000));
   fixture.run(100);
-  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
   fixture.run(1500);  // three times the grace
   fixture.freeze(0, false);
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 0);
   CHECK(callers.phone.finals() == 4);
-  CHECK(fixture.at(1).counters().setUps == 0);
+  CHECK(fixture.exchange(1).counters().setUps == 0);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.invites == 0);
@@ -166,13 +166,13 @@
 
 TEST_CASE("a reset is followed by no INVITE within the release time, and then by one") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   // A new processor under the office's nose: the INVITE that the old one held is reset.
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.exchange(1).hang(fixture.now(), true);
   Dialler callers(fixture);
   callers.dial(0, "210001");
   fixture.run(400);
-  fixture.exchange(1, true);
+  fixture.startExchange(1, true);
   fixture.run(100);
   CHECK(fixture.account(0, "invites") == 1);
   fixture.run(1400);
@@ -185,7 +185,7 @@
 
 TEST_CASE("with the directory dead from the start every session is refused at once") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open(false);
+  fixture.start(false);
   Dialler callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(100);
@@ -195,7 +195,7 @@
 
 TEST_CASE("an office that was killed with sessions standing comes back on its address and all counts agree") {
   FleetFixture fixture(smallFleet(3, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i));
   for (int i = 0; i < 3; ++i) callers.dial(1, "20000" + std::to_string(i));
@@ -218,13 +218,13 @@
 
 TEST_CASE("a peer that falls silent is given up and its circuits with it, and it is taken back") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   callers.dial(0, "210001");
   fixture.run(500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
   bool parted = true;
-  fixture.between(
+  fixture.impairBetweenOffices(
       [&](int, int, const iax2::Frame&) { return parted ? std::vector<Span>() : std::vector<Span>{Span::ms(5)}; });
   fixture.run(9000);
   CHECK(callers.phone.count("HANGUP") == 1);
@@ -243,7 +243,7 @@
   Fleet fleet = smallFleet(3, 10);
   fleet.groups = {{0, 1, 10}, {1, 2, 10}};  // none between the first and the third
   FleetFixture fixture(fleet);
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   iax2::Call* call = callers.dial(0, "220001");
   fixture.run(500);
@@ -272,8 +272,8 @@
 
 TEST_CASE("SIGTERM's work: nothing new, one answer each for what is held, gone within two seconds") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
-  fixture.at(1).hang(fixture.now(), true);
+  fixture.start();
+  fixture.exchange(1).hang(fixture.now(), true);
   Dialler callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   iax2::Call* stands = callers.dial(1, "200001");
@@ -295,7 +295,7 @@
 TEST_CASE("the bound on sessions: more are refused at once and counted") {
   Fleet fleet = smallFleet(2, 10);
   OfficeOptions setting;
-  setting.mostSessions = 2;
+  setting.maxSessions = 2;
   Office office(fleet, setting, Instant::ms(1000));
   TestPhone phone(4);
   const iax2::Address at{1, 1}, from{2, 2};
@@ -346,15 +346,15 @@
   list.directory = 6;
   take(list);
   CHECK(office.told(1) == Readiness::ready);
-  CHECK(office.trunk(1)->size() == 4);
+  CHECK(office.trunkGroup(1)->size() == 4);
 }
 
 TEST_CASE("a sign of life of an office's former life, late on its way, costs its new life nothing") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   bool former = true;
-  fixture.between([&](int from, int to, const iax2::Frame& frame) {
+  fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
     const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
     // Doubled, and the second copy four seconds late.
     return sign && former ? std::vector<Span>{Span::ms(5), Span::ms(4000)} : std::vector<Span>{Span::ms(5)};
@@ -378,7 +378,7 @@
 
 TEST_CASE("what an exchange could take is not told of the one in its place, nor of one that is gone") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   bool blind = false;
   int told = 0, refused = 0;
@@ -390,14 +390,14 @@
     if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
         frame.is(iax2::Iax::REJECT)) {
       ++refused;
-      told += frame.elements.canTake.has_value();
+      told += frame.elements.capacityPer1000s.has_value();
     }
     return std::vector<Span>{Span::ms(5)};
   };
   blind = true;
   // Its process is replaced by one that hangs from the start: it gives signs of life, and says nothing of its room.
-  fixture.exchange(1, false).hang(fixture.now(), true);
-  fixture.learns(1, Readiness::draining, fixture.at(1).mark());
+  fixture.startExchange(1, false).hang(fixture.now(), true);
+  fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
   fixture.run(350);
   callers.dial(0, "210001");
   fixture.run(100);
@@ -430,7 +430,7 @@
 
 TEST_CASE("an exchange that rings three hundred times is passed on once, and its answer is heard") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   TestPhone bell(3);
   fixture.testbed().remove(day::processorIdentity(1));
   fixture.run(5);
@@ -438,16 +438,16 @@
   Dialler callers(fixture);
   callers.dial(0, "210001");
   fixture.run(100);
-  REQUIRE(bell.calls.size() == 1);
-  bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Iax::ACCEPT);
+  REQUIRE(bell.incomingCalls.size() == 1);
+  bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Iax::ACCEPT);
   for (int i = 0; i < 300; ++i) {
-    bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Control::ringing);
+    bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Control::ringing);
     if (i % 50 == 49) {
       fixture.testbed().wakeUp(day::processorIdentity(1));
       fixture.run(15);  // acknowledged before the next fifty
     }
   }
-  bell.endpoint().send(fixture.now(), *bell.calls[0], iax2::Control::answer);
+  bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Control::answer);
   fixture.testbed().wakeUp(day::processorIdentity(1));
   fixture.run(100);
   CHECK(callers.phone.count("RINGING") == 1);
@@ -458,11 +458,11 @@
 
 TEST_CASE("signs of life that waited in a frozen office say nothing of what was opened since") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   // The other office answers, dies and is back while this one stands still: both signs of life wait there, and a NEW.
   bool slow = true, asked = false;
-  fixture.between([&](int from, int to, const iax2::Frame& frame) {
+  fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
     asked = asked || (from == 0 && to == 1 && frame.is(iax2::Iax::POKE));
     const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
     return std::vector<Span>{Span::ms(sign && slow ? 400 : 5)};
@@ -490,10 +490,10 @@
 
 TEST_CASE("late copies of a peer's last sign of life neither keep it alive nor bring it back") {
   FleetFixture fixture(smallFleet(2, 10));
-  fixture.open();
+  fixture.start();
   Dialler callers(fixture);
   bool parted = false;
-  fixture.between([&](int from, int, const iax2::Frame& frame) {
+  fixture.impairBetweenOffices([&](int from, int, const iax2::Frame& frame) {
     if (parted) return std::vector<Span>();
     const bool sign = from == 1 && frame.is(iax2::Iax::PONG);
     return sign ? std::vector<Span>{Span::ms(5), Span::ms(5500), Span::ms(9000)} : std::vector<Span>{Span::ms(5)};
--- a/tests/program/settings.cpp
+++ b/tests/program/settings.cpp
@@ -47,7 +47,7 @@
   CHECK(fleet.circuits(1, 0) == 10);
   CHECK(fleet.destination("2155") == 1);
   CHECK(fleet.destination("99") == -1);
-  CHECK(fleet.data.releaseTime == Span::ms(300));
+  CHECK(fleet.config.releaseTime == Span::ms(300));
   const std::string text = writeFleet(fleet);
   const Document again = Document::parse("g", text);
   CHECK(writeFleet(readFleet(again.forms().front())) == text);
--- a/tests/program/zones.cpp
+++ b/tests/program/zones.cpp
@@ -92,7 +92,7 @@
   fleet.places[2].zone = "far";
   fleet.groups = {{0, 1, 10}, {1, 2, 10}};
   FleetFixture fixture(fleet, makeController, "zones");
-  fixture.open();
+  fixture.start();
   TestPhone phone(99);
   fixture.testbed().place(day::kCallers, phone);
   iax2::Call* direct = phone.dial(fixture.now(), fixture.office(0), "210001", Span::ms(3000), "wide");
@@ -247,7 +247,7 @@
         if (to == callers) phone.receive(now, {1, 1}, bytes);
         if (to == other) peer.receive(now, {1, 1}, bytes);
       });
-      for (iax2::Call* call : std::vector(peer.calls.begin(), peer.calls.end())) {
+      for (iax2::Call* call : std::vector(peer.incomingCalls.begin(), peer.incomingCalls.end())) {
         if (!answered.insert(call).second) continue;
         peer.endpoint().send(now, *call, iax2::Iax::ACCEPT);
         peer.endpoint().send(now, *call, iax2::Control::answer);
@@ -258,7 +258,7 @@
   budget.to = 1;
   budget.circuits = 3;
   budget.classes.resize(2);
-  office.budgets(now, {budget});
+  office.updateBudgets(now, {budget});
   std::vector<iax2::Call*> calls;
   for (int i = 0; i < 6; ++i) {
     calls.push_back(phone.dial(now, {1, 1}, "21000" + std::to_string(i)));
@@ -266,9 +266,9 @@
   }
   CHECK(phone.count("ANSWER") == 3);
   CHECK(phone.count("REJECT") == 3);
-  CHECK(office.trunk(1)->held() == 3);
+  CHECK(office.trunkGroup(1)->circuitsInUse() == 3);
   budget.circuits = 0;
-  office.budgets(now, {budget});
+  office.updateBudgets(now, {budget});
   phone.dial(now, {1, 1}, "210009");
   pass();
   CHECK(phone.count("ANSWER") == 3);
@@ -277,7 +277,7 @@
   for (int i = 0; i < 3; ++i) phone.endpoint().hangUp(now, *calls[static_cast<std::size_t>(i)], iax2::Iax::HANGUP, {});
   pass();
   CHECK(office.zonesReport(now).find("\"held\":0,\"over\":0") != std::string::npos);
-  office.budgets(now, {});
+  office.updateBudgets(now, {});
   phone.dial(now, {1, 1}, "210010");
   pass();
   CHECK(phone.count("ANSWER") == 4);
@@ -343,7 +343,7 @@
   second.from = 1, second.to = 2, second.circuits = 4, second.classes.resize(2);
   fleet.budgets = {first, second};
   FleetFixture fixture(fleet, makeController, "zones-third");
-  fixture.open();
+  fixture.start();
   TestPhone phone(99);
   fixture.testbed().place(day::kCallers, phone);
   for (int i = 0; i < 8; ++i) {
