--- a/src/capture/capture.hpp
+++ b/src/capture/capture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Captures of a day in pcapng, which common packet tools open. Two interfaces: what was sent, and what was
-// delivered. What the script did stands among them as datagrams to the discard port.
+// Captures of a day in pcapng format, which common packet tools can open. A capture has two interfaces: datagrams as
+// sent, and datagrams as delivered. The actions of the day's script are recorded as datagrams to the discard port.
 
 #include <cstdint>
 #include <fstream>
@@ -14,25 +14,28 @@
 
 namespace thistlefold::capture {
 
+/// One captured datagram.
 struct Packet {
   Instant at;
-  bool delivered = false;
+  bool delivered = false;  // captured on delivery; otherwise when sent
   iax2::Address from, to;
-  std::span<const std::uint8_t> payload;
+  std::span<const std::uint8_t> payload;  // not owned
 };
 
-/// The address and port of the script's own notes.
+/// Source address and port of the notes on the script's actions.
 inline constexpr iax2::Address kScriptAddress{0x7f050001, 9};
-/// UDP's discard port.
+/// Destination of the notes: UDP's discard port.
 inline constexpr iax2::Address kDiscardAddress{0x7f050002, 9};
 
+/// Writes a capture file.
 class Writer {
  public:
-  /// Throws std::runtime_error if the file can't be written.
+  /// Overwrites an existing file. Throws std::runtime_error if the file can't be written.
   explicit Writer(const std::string& path);
   void write(const Packet& packet);
+  /// Records an action of the script.
   void note(Instant at, const std::string& text);
-  /// Flushes; throws if anything could not be written.
+  /// Flushes the file. Throws std::runtime_error if any part of it could not be written.
   void close();
 
  private:
@@ -40,8 +43,9 @@
   std::string path_;
 };
 
-/// Calls `take` for each packet in the order of the file. Throws std::runtime_error naming the offset where the
-/// file is no capture, or one of another kind than Writer writes.
-void read(const std::string& path, const std::function<void(const Packet&)>& take);
+/// Calls `onPacket` for each packet in the order of the file; the payload is valid during the call only. Throws
+/// std::runtime_error with the offset if the file is not a capture, is truncated, or differs in kind from what Writer
+/// writes.
+void read(const std::string& path, const std::function<void(const Packet&)>& onPacket);
 
 }  // namespace thistlefold::capture
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// What all parts of the program know of a fleet. Plain data; settings/ reads it from files.
+// Configuration of a fleet: exchanges, offices, trunk groups and services. Plain data; src/settings/ reads it from
+// files.
 
 #include <cstdint>
 #include <string>
@@ -13,47 +14,51 @@
 
 namespace thistlefold {
 
-/// How a service is dialled and how wide it is; OfficeConfig::services holds the rest at the same index.
+/// Name and width of a service. OfficeConfig::services holds its other properties at the same index.
 struct OfferedService {
   std::string name;
-  int width = 1;  // circuits
+  int width = 1;  // circuits per session
 };
 
-/// An exchange with the office in front of it.
+/// An exchange and the office in front of it. Other parts of the program refer to it by its index in Fleet::places,
+/// called its place.
 struct ExchangeSite {
   std::string name;
   std::string zone;
-  std::string numbers;  // called numbers that begin with this end here
+  std::string numbers;  // prefix of the called numbers that end here
   iax2::Address office;
   iax2::Address processor;
-  double setUpsPerSecond = 500;  // what its processor can take when warm
+  double setUpsPerSecond = 500;  // capacity of its processor when warm
 };
 
+/// A trunk group between two places.
 struct Group {
   int a = 0, b = 0;  // places, a < b
   int circuits = 0;
 };
 
+/// One fleet as configured.
 struct Fleet {
   std::vector<OfferedService> offeredServices;
   OfficeConfig config;
-  Span drainGrace = Span::ms(500);
+  Span drainGrace =
+      Span::ms(500);  // offices may still send sessions to an exchange for this long after it is listed as draining
   std::vector<ExchangeSite> places;
   std::vector<Group> groups;
-  std::vector<zones::Budget> budgets;  // by ordered pair of zones; at most one a pair
+  std::vector<zones::Budget> budgets;  // by ordered pair of zones; at most one for each
   iax2::Address directory;
 
-  /// Index of the service, or -1.
+  /// Index of the service with that name, or -1.
   int service(std::string_view name) const;
   /// Index of the place with that name, or -1.
   int place(std::string_view name) const;
-  /// Index of the place whose numbers are the longest beginning of `called`, or -1.
+  /// Index of the place whose `numbers` is the longest prefix of `called`, or -1.
   int destination(std::string_view called) const;
-  /// Names of the zones, in order of appearance.
+  /// Names of the zones, in order of appearance in `places`.
   std::vector<std::string> zones() const;
-  /// Index of a zone, or -1.
+  /// Index of a zone in zones(), or -1.
   int zone(std::string_view name) const;
-  /// Circuits between two places; 0 where there is no group.
+  /// Size of the trunk group between two places; 0 if there is none.
   int circuits(int a, int b) const;
 };
 
--- a/src/iax2/address.hpp
+++ b/src/iax2/address.hpp
@@ -16,12 +16,13 @@
   std::uint16_t port = 0;
 
   friend auto operator<=>(const Address&, const Address&) = default;
+  /// Unique among addresses; fits in 48 bits.
   std::uint64_t key() const { return (std::uint64_t{ip} << 16) | port; }
 };
 
-/// "127.0.0.1:4569", as written in settings and logs.
+/// The address as in settings and logs: "127.0.0.1:4569".
 std::string text(Address address);
-/// Nothing if the text is not four decimal octets, a colon and a port.
+/// Parses the form that text() writes. Returns nothing if `text` is not four decimal octets, a colon and a port.
 std::optional<Address> parseAddress(std::string_view text);
 
 }  // namespace thistlefold::iax2
--- a/src/iax2/frame.hpp
+++ b/src/iax2/frame.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// IAX2 full frames, RFC 5456 sections 8.1 to 8.6: bytes in, bytes out, nothing kept.
+// Encoding and decoding of IAX2 full frames, RFC 5456 sections 8.1 to 8.6. Keeps no state.
 
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
 
 using Bytes = std::span<const std::uint8_t>;
 
-/// Frame types, RFC 5456 section 8.2. Others are carried as numbers.
+/// Frame types, RFC 5456 section 8.2. A frame may also have a value that is not named here.
 enum class Type : std::uint8_t { voice = 2, control = 4, null = 5, iax = 6, text = 7 };
 
 /// IAX subclasses, RFC 5456 section 8.4.
@@ -43,11 +43,11 @@
   proceeding = 0x0f,
 };
 
-/// Why a session was not set up, in the module's words; rides in a private element beside the cause code.
+/// Why a session was not set up, as distinguished by the module. Carried in a private element beside the cause code.
 enum class ReleaseReason : std::uint8_t { none, noCircuit, turnedBack, processorFull, lineBusy, reset, noRoute };
 
-/// Information elements, RFC 5456 section 8.6, and the private ones of docs/wire.md. Text points into the
-/// datagram it was decoded from; what was absent is empty.
+/// Information elements, RFC 5456 section 8.6, and the private ones of docs/wire.md. Texts point into the datagram from
+/// which they were decoded and are valid as long as that; absent elements are empty.
 struct Elements {
   std::string_view calledNumber;
   std::string_view callingNumber;
@@ -59,26 +59,27 @@
   std::optional<std::uint8_t> unknownSubclass;
 
   // Private.
-  std::optional<std::uint64_t> session;           // the same on every leg of one session
-  std::optional<std::uint16_t> origin;            // place of the office that sends
+  std::optional<std::uint64_t> session;           // number of the session, the same on all of its legs
+  std::optional<std::uint16_t> originPlace;       // place of the office that sends the frame
   std::optional<std::uint16_t> destinationPlace;  // place of the destination
-  std::optional<std::uint16_t> width;             // circuits
-  std::optional<std::uint32_t> timeLeftMs;        // ms until the caller gives up
-  std::optional<std::uint32_t> retryAfterMs;      // ms until a full processor, or a refused caller, may come back
+  std::optional<std::uint16_t> width;             // circuits of the session
+  std::optional<std::uint32_t> timeLeftMs;        // until the caller gives up
+  std::optional<std::uint32_t> retryAfterMs;      // until a full processor, or a refused caller, may be tried again
   std::optional<ReleaseReason> releaseReason;
-  std::optional<bool> beyond;                     // the reason lies with the exchange beyond
-  std::optional<bool> wasCut;                     // the caller's last session was cut
-  std::optional<std::uint32_t> capacityPer1000s;  // set-ups in 1000 s that the processor there can take
-  std::optional<std::uint64_t> incarnation;       // ms on the fleet's clock when the sender was started
+  std::optional<bool> failedBeyond;               // the reason lies with the exchange beyond the office that answers
+  std::optional<bool> wasCut;                     // the caller's previous session was dropped
+  std::optional<std::uint32_t> capacityPer1000s;  // set-ups in 1000 s that the far processor can take
+  std::optional<std::uint64_t> incarnation;       // identifies one start of the sender
 };
 
+/// Header of a full frame.
 struct FrameHeader {
-  std::uint16_t source = 0;       // 15 bits
-  std::uint16_t destination = 0;  // 15 bits
-  bool retransmitted = false;     // retransmitted
-  std::uint32_t timestamp = 0;    // ms since the call began
-  std::uint8_t oseq = 0;
-  std::uint8_t iseq = 0;
+  std::uint16_t source = 0;       // sender's call number, 15 bits
+  std::uint16_t destination = 0;  // receiver's call number, 15 bits; 0: not known yet
+  bool retransmitted = false;
+  std::uint32_t timestamp = 0;  // ms since the call was opened; POKE and PONG: see pokeStamp()
+  std::uint8_t oseq = 0;        // sequence number of this frame
+  std::uint8_t iseq = 0;        // sequence number expected next from the receiver
   Type type = Type::iax;
   std::uint8_t subclass = 0;
 
@@ -86,26 +87,29 @@
   bool is(Control what) const { return type == Type::control && subclass == static_cast<std::uint8_t>(what); }
 };
 
+/// A full frame with its elements.
 struct Frame : FrameHeader {
   Elements elements;
 };
 
-/// What a datagram turned out to be.
+/// What kind of datagram was decoded.
 enum class DecodeResult { full, mini, malformed };
 
-/// `frame` is filled in only for a full frame. Malformed: too short, an element that runs over the end, or a
-/// known element of the wrong length. Unknown elements are skipped (RFC 5456 section 8.6).
+/// Decodes a datagram into `frame`, which is meaningful only if the result is `full`. A datagram is malformed if it is
+/// too short or too long, if an element runs over its end, or if a known element has the wrong length or an unknown
+/// value. Unknown elements are skipped (RFC 5456 section 8.6).
 DecodeResult decode(Bytes datagram, Frame& frame);
 
-std::vector<std::uint8_t> encode(const FrameHeader& head, const Elements& elements);
+/// Encodes a full frame. Texts longer than 255 bytes are truncated. Elements are encoded for frames of type `iax` only.
+std::vector<std::uint8_t> encode(const FrameHeader& header, const Elements& elements);
 
 /// Marks an encoded full frame as retransmitted and brings its acknowledgement up to date.
 void markRetransmitted(std::vector<std::uint8_t>& encoded, std::uint8_t iseq);
 
-/// For logs and captures: "NEW", "ANSWER", "type 7 subclass 0".
-std::string name(const FrameHeader& head);
+/// Name of a frame for logs and session traces: "NEW", "ANSWER", "type 7 subclass 0".
+std::string name(const FrameHeader& header);
 
-/// The longest datagram taken; IAX2 signalling fits in one Ethernet frame.
+/// The longest datagram accepted; IAX2 signalling fits into one Ethernet frame.
 inline constexpr std::size_t kMaxDatagramBytes = 1500;
 
 }  // namespace thistlefold::iax2
--- a/src/office/list.hpp
+++ b/src/office/list.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// What the directory tells offices, as datagrams of text lines (docs/wire.md). No I/O.
+// Lists that the directory sends to offices, as datagrams of text lines (docs/wire.md). Encoding and decoding only, no
+// I/O.
 
 #include <cstdint>
 #include <optional>
@@ -13,33 +14,39 @@
 
 namespace thistlefold {
 
+/// State of one exchange.
 struct ListEntry {
   int place = 0;
   Readiness readiness = Readiness::gone;
-  std::uint64_t start = 0;  // changes whenever another processor takes over; says nothing of time
-  Span age;                 // how long that processor has run
+  /// Changes whenever another processor takes over; not a time.
+  std::uint64_t processorIncarnation = 0;
+  Span age;  // how long that processor has run
 };
 
-/// Circuits that a trunk group has from now on, where that is not what the fleet file says.
+/// Present size of a trunk group where it differs from the fleet file.
 struct GroupSize {
   int a = 0, b = 0;  // places
   int circuits = 0;
 };
 
-/// One list. Versions grow; a list of an older version than one already taken is stale.
+/// One list. Versions increase; a list of an older version than one already accepted is stale.
 struct ExchangeList {
-  std::uint64_t directory = 0;  // changes when the directory is started anew: versions begin again
+  /// Changes when the directory is restarted, whose versions then begin again.
+  std::uint64_t directoryIncarnation = 0;
   std::uint64_t version = 0;
-  bool full = false;  // what it does not name is gone
+  /// True: exchanges that the list does not name are gone. False: it names only those that have changed.
+  bool full = false;
   std::vector<ListEntry> entries;
   std::vector<GroupSize> groups;
 };
 
+/// The datagram that carries `list`.
 std::string encode(const ExchangeList& list);
-/// Nothing if the datagram is no list or any line of it can't be read: a list is taken whole or not at all.
+/// Returns nothing if the datagram is not a list or any line of it is malformed: a list is accepted whole or not at
+/// all.
 std::optional<ExchangeList> decodeList(std::span<const std::uint8_t> datagram);
 
-/// What an office sends that wants to be told.
+/// The datagram by which an office asks the directory to send it lists.
 inline constexpr std::string_view kListRequest = "thistlefold ask 1\n";
 
 }  // namespace thistlefold
--- a/src/office/trunk_group.hpp
+++ b/src/office/trunk_group.hpp
@@ -4,52 +4,56 @@
 
 namespace thistlefold {
 
-/// One end's count of the circuits of a trunk group. Both ends count every session that crosses, each for
-/// itself; the two counts differ only while a frame is on its way. Decides glare; no I/O.
+/// One end's count of the circuits of a trunk group. Both ends count every session that crosses the group, each for
+/// itself; the two counts differ only while a frame is on its way. Resolves glare. Does no I/O.
 class TrunkGroup {
  public:
-  /// `controlling`: of the two ends, the one that keeps its own session when both seize the last circuits at
-  /// once. Exactly one end of a group is (the one of the lower place).
+  /// `controlling`: whether this end keeps its own session when both ends seize the last circuits at the same time.
+  /// Exactly one end of a group is the controlling one, that of the lower place.
   TrunkGroup(int size, bool controlling) : size_(size), controlling_(controlling) {}
 
   int size() const { return size_; }
-  int circuitsInUse() const { return held_; }
-  int free() const { return std::max(0, size_ - held_); }
-
-  /// For a session that goes out. False: no circuit, nothing taken.
-  bool seize(int width) {
-    if (width > size_ - held_) return false;
-    held_ += width;
-    unanswered_ += width;
+  /// Circuits in use in both directions.
+  int circuitsInUse() const { return inUse_; }
+  int free() const { return std::max(0, size_ - inUse_); }
+
+  /// Seizes circuits for an outgoing session. Returns false and seizes nothing if there are too few.
+  bool seizeOutgoing(int width) {
+    if (width > size_ - inUse_) return false;
+    inUse_ += width;
+    unconfirmed_ += width;
     return true;
   }
-  /// The far end has taken, or turned back, a session that went out: it is no longer in doubt.
-  void answered(int width) { unanswered_ -= width; }
-
-  /// For a session that comes in. False: it is to be turned back for want of circuits.
-  bool admit(int width) {
-    const int room = size_ - held_;
-    if (width > room) {
-      // Glare: the far end did not know of what went out from here. The controlling end turns back; the other
-      // lets it in on top, since its own session is sure to be turned back. Never more than is in doubt.
-      if (controlling_ || width > room + unanswered_) return false;
+  /// To be called once per outgoing session when the far end has accepted it or turned it back, or when it is over:
+  /// glare on its circuits is then no longer possible.
+  void confirmOutgoing(int width) { unconfirmed_ -= width; }
+
+  /// Seizes circuits for an incoming session. Returns false if it is to be turned back for want of circuits.
+  bool seizeIncoming(int width) {
+    const int freeCircuits = size_ - inUse_;
+    if (width > freeCircuits) {
+      // Glare: the far end did not know yet of a session that was sent from here. The controlling end turns the
+      // incoming session back. The other end accepts it beyond the size of the group, since its own session is certain
+      // to be turned back, but never for more circuits than its unconfirmed sessions hold.
+      if (controlling_ || width > freeCircuits + unconfirmed_) return false;
       ++glares_;
     }
-    held_ += width;
+    inUse_ += width;
     return true;
   }
-  void release(int width) { held_ -= width; }
-  /// Circuits were lost or came back. What is held stays held; `over()` says how much of it has none any more.
+  void release(int width) { inUse_ -= width; }
+  /// Circuits were lost or restored. Sessions keep theirs; excess() says for how many circuits there are none any more.
   void resize(int size) { size_ = size; }
-  int over() const { return std::max(0, held_ - size_); }
+  int excess() const { return std::max(0, inUse_ - size_); }
   bool controlling() const { return controlling_; }
+  /// Incoming sessions accepted under glare since the start.
   int glares() const { return glares_; }
 
  private:
   int size_;
   bool controlling_;
-  int held_ = 0;        // in both directions; above size_ only while glare is being settled
-  int unanswered_ = 0;  // of those, gone out and not answered by the far end
+  int inUse_ = 0;        // in both directions; above size_ while glare is being resolved or after a loss of circuits
+  int unconfirmed_ = 0;  // of those, seized for outgoing sessions that the far end has not answered
   int glares_ = 0;
 };
 
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -64,7 +64,7 @@
     e.timeLeftMs = static_cast<std::uint32_t>(limit.ms());
     now_ = now;
     iax2::Call* call = endpoint_.open(now, to, this, e);
-    if (call != nullptr) dialled.push_back(call);
+    if (call != nullptr) outgoingCalls.push_back(call);
     return call;
   }
   void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
@@ -79,40 +79,40 @@
   iax2::Endpoint& endpoint() { return endpoint_; }
 
   int count(const std::string& name) const {
-    const auto it = heard_.find(name);
-    return it == heard_.end() ? 0 : it->second;
+    const auto it = receivedFrames_.find(name);
+    return it == receivedFrames_.end() ? 0 : it->second;
   }
-  int finals() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
+  int finalResponses() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
   std::deque<iax2::Call*> incomingCalls;  // that came in
-  std::deque<iax2::Call*> dialled;        // from here, and not over yet
+  std::deque<iax2::Call*> outgoingCalls;  // from here, and not over yet
   std::uint64_t lastSession = 0;
   std::uint8_t lastCause = 0;
-  iax2::CallEnd lastGone = iax2::CallEnd::localHangUp;
-  int goneCount = 0;
+  iax2::CallEnd lastCallEnd = iax2::CallEnd::localHangUp;
+  int endedCalls = 0;
 
  private:
   void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override {
-    ++heard_["NEW"];
+    ++receivedFrames_["NEW"];
     lastSession = frame.elements.session.value_or(0);
     call.setOwner(this);
     incomingCalls.push_back(&call);
   }
   void onFrame(iax2::Call&, const iax2::Frame& frame) override {
-    ++heard_[iax2::name(frame)];
+    ++receivedFrames_[iax2::name(frame)];
     if (frame.elements.causeCode) lastCause = *frame.elements.causeCode;
   }
   void onCallEnded(iax2::Call& call, iax2::CallEnd how) override {
     std::erase(incomingCalls, &call);
-    std::erase(dialled, &call);
-    lastGone = how;
-    ++goneCount;
+    std::erase(outgoingCalls, &call);
+    lastCallEnd = how;
+    ++endedCalls;
   }
-  void onPong(iax2::Address, const iax2::Frame&) override { ++heard_["PONG"]; }
+  void onPong(iax2::Address, const iax2::Frame&) override { ++receivedFrames_["PONG"]; }
   iax2::Elements pongElements(iax2::Address) override { return {}; }
 
   iax2::Endpoint endpoint_;
   Instant now_;
-  std::map<std::string, int> heard_;
+  std::map<std::string, int> receivedFrames_;
 };
 
 /// A fleet on the virtual stage with a directory, exchanges, and a capture that is audited at the end.
@@ -181,7 +181,7 @@
   }
   iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
   /// What `field` of an office's account says.
-  std::int64_t account(int place, const std::string& field) {
+  std::int64_t statusField(int place, const std::string& field) {
     return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
         .at(field)
         .to_number<std::int64_t>();
@@ -230,25 +230,25 @@
 /// two INVITEs, with `silent` it answers nobody.
 class RogueController final : public Controller {
  public:
-  struct Ways {
-    bool twice = false, silent = false;
+  struct Faults {
+    bool sendTwice = false, neverAnswer = false;
   };
-  explicit RogueController(Ways ways) : ways_(ways) {}
+  explicit RogueController(Faults faults) : faults_(faults) {}
 
   void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
     sink_ = &sink;
     events.deliver(*this);
-    for (Session* session : std::exchange(inHand_, {})) {
+    for (Session* session : std::exchange(undecided_, {})) {
       if (session->finished) continue;
       if (session->destination == nullptr || now_ >= session->timerLimit) {
         session->finished = true;
-        if (!ways_.silent) sink.rejectBusy(*session, Span::none());
+        if (!faults_.neverAnswer) sink.rejectBusy(*session, Span::none());
         continue;
       }
-      if (ways_.silent) continue;
+      if (faults_.neverAnswer) continue;
       sink.invite(*session, *session->destination, Span::ms(400));
-      if (ways_.twice) sink.invite(*session, *session->destination, Span::ms(400));
+      if (faults_.sendTwice) sink.invite(*session, *session->destination, Span::ms(400));
     }
     sink.scheduleWakeUp(Span::ms(100));
   }
@@ -259,26 +259,27 @@
   void listFailed() override {}
   void circuitsChanged(Exchange&, double, double) override {}
   void capacityReported(Exchange&, double) override {}
-  void sessionArrived(Session& session) override { inHand_.push_back(&session); }
+  void sessionArrived(Session& session) override { undecided_.push_back(&session); }
   void inviteAccepted(Session& session, Span) override { session.established = true; }
-  void inviteEnded(Session& session, Exchange&, InviteOutcome ending, BlockingReason, bool, Span, bool final) override {
-    if (final || ending == InviteOutcome::released) {
+  void inviteEnded(Session& session, Exchange&, InviteOutcome outcome, BlockingReason, bool, Span,
+                   bool final) override {
+    if (final || outcome == InviteOutcome::released) {
       session.finished = true;
     } else {
-      inHand_.push_back(&session);
+      undecided_.push_back(&session);
     }
   }
   void sessionAbandoned(Session& session) override { session.finished = true; }
 
  private:
-  Ways ways_;
+  Faults faults_;
   Instant now_;
   DecisionSink* sink_ = nullptr;
-  std::vector<Session*> inHand_;
+  std::vector<Session*> undecided_;
 };
 
-inline ControllerFactory rogueController(RogueController::Ways ways = {}) {
-  return [ways](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(ways); };
+inline ControllerFactory rogueController(RogueController::Faults faults = {}) {
+  return [faults](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(faults); };
 }
 
 }  // namespace thistlefold::test
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -27,11 +27,11 @@
 struct Outcome {
   audit::Findings findings;
   std::string trace;
-  std::string atRest;  // what was left over once all was quiet, in words
+  std::string leftovers;  // what was left over once all was quiet, in words
 };
 
 /// Every second seed has the third office in a zone of its own, and a budget to it that the other two lend each other.
-Fleet fleetOf(std::uint32_t seed) {
+Fleet makeFleet(std::uint32_t seed) {
   Fleet fleet = smallFleet(kPlaces, kCircuits);
   if (seed % 2 == 0) return fleet;
   fleet.places[2].zone = "away";
@@ -45,10 +45,10 @@
 }
 
 /// Plays `length` of unrest, then peace until everything can have come to its end.
-class Unrest {
+class RandomHistory {
  public:
-  explicit Unrest(std::uint32_t seed, const std::string& name)
-      : chance_(seed), fixture_(fleetOf(seed), makeController, name), phone_(seed) {}
+  explicit RandomHistory(std::uint32_t seed, const std::string& name)
+      : random_(seed), fixture_(makeFleet(seed), makeController, name), phone_(seed) {}
 
   Outcome play(double length) {
     fixture_.start();
@@ -57,39 +57,41 @@
     fixture_.impairment = [this](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>&) {
       return impairment(from, to);
     };
-    unrest_ = true;
+    isImpaired_ = true;
     const Instant end = fixture_.now() + Span::ms(length);
     while (fixture_.now() < end) {
-      act();
-      fixture_.run(5 + 60 * lot());
+      performRandomAction();
+      fixture_.run(5 + 60 * randomShare());
     }
-    unrest_ = false;
+    isImpaired_ = false;
     for (int i = 0; i < kPlaces; ++i) {
       if (frozen_[i]) fixture_.freeze(i, frozen_[i] = false);
-      if (down_[i]) start(i);
+      if (killed_[i]) start(i);
       fixture_.exchange(i).hang(fixture_.now(), false);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
       fixture_.setListedReadiness(i, Readiness::ready, fixture_.exchange(i).mark());
     }
     // The latest copies of the unrest are eight seconds late, and a peer's silence is believed after six.
     fixture_.run(12000);
-    for (iax2::Call* call : std::vector<iax2::Call*>(phone_.dialled.begin(), phone_.dialled.end())) hangUp(*call);
+    for (iax2::Call* call : std::vector<iax2::Call*>(phone_.outgoingCalls.begin(), phone_.outgoingCalls.end()))
+      hangUp(*call);
     fixture_.run(15000);
     Outcome outcome;
     for (int i = 0; i < kPlaces; ++i) {
       for (const char* what : {"sessions", "legs", "standing"}) {
-        if (fixture_.account(i, what) != 0) outcome.atRest += "office " + std::to_string(i) + " has " + what + "; ";
+        if (fixture_.statusField(i, what) != 0)
+          outcome.leftovers += "office " + std::to_string(i) + " has " + what + "; ";
       }
       for (int j = 0; j < kPlaces; ++j) {
-        if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.atRest += "circuits are held; ";
+        if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.leftovers += "circuits are held; ";
       }
-      if (fixture_.exchange(i).standing() != 0) outcome.atRest += "a session stands at an exchange; ";
+      if (fixture_.exchange(i).standing() != 0) outcome.leftovers += "a session stands at an exchange; ";
     }
     // Peace serves again what is offered.
     const int before = phone_.count("ANSWER");
     for (int i = 0; i < kPlaces; ++i) dial(i, (i + 1) % kPlaces, "call");
     fixture_.run(3000);
-    if (phone_.count("ANSWER") != before + kPlaces) outcome.atRest += "peace does not serve what is offered; ";
+    if (phone_.count("ANSWER") != before + kPlaces) outcome.leftovers += "peace does not serve what is offered; ";
     outcome.findings = fixture_.findings();
     outcome.trace = contents(fixture_.path());
     fixture_.testbed().remove(day::kCallers);
@@ -98,23 +100,23 @@
   }
 
  private:
-  double lot() { return std::generate_canonical<double, 32>(chance_); }
-  int place() { return static_cast<int>(chance_() % kPlaces); }
+  double randomShare() { return std::generate_canonical<double, 32>(random_); }
+  int randomPlace() { return static_cast<int>(random_() % kPlaces); }
 
   std::vector<Span> impairment(iax2::Address from, iax2::Address to) {
-    if (!unrest_) return {Span::ms(5)};
+    if (!isImpaired_) return {Span::ms(5)};
     // Deaf one way: what goes from one office to another is lost, what comes back is not.
-    if (fixture_.now() < deafUntil_ && from == deafFrom_ && to == deafTo_) return {};
-    if (lot() < 0.04) return {};
-    const auto delay = [&] { return Span::ms(lot() < 0.08 ? 400 * lot() : 4 + 2 * lot()); };
+    if (fixture_.now() < lossUntil_ && from == lossFrom_ && to == lossTo_) return {};
+    if (randomShare() < 0.04) return {};
+    const auto delay = [&] { return Span::ms(randomShare() < 0.08 ? 400 * randomShare() : 4 + 2 * randomShare()); };
     std::vector<Span> copies{delay()};
-    if (lot() < 0.06) copies.push_back(Span::ms(8000 * lot() * lot()));
+    if (randomShare() < 0.06) copies.push_back(Span::ms(8000 * randomShare() * randomShare()));
     return copies;
   }
 
   void dial(int from, int to, const std::string& service) {
     phone_.dial(fixture_.now(), fixture_.office(from),
-                std::to_string(20 + to) + std::to_string(1000 + chance_() % 9000), Span::ms(500 + 4000 * lot()),
+                std::to_string(20 + to) + std::to_string(1000 + random_() % 9000), Span::ms(500 + 4000 * randomShare()),
                 service);
     fixture_.testbed().wakeUp(day::kCallers);
   }
@@ -124,67 +126,69 @@
   }
   void start(int i) {
     fixture_.note("start e" + std::to_string(i + 1));
-    fixture_.testbed().startOffice(i, 1000 + chance_() % 1000);
-    down_[i] = false;
+    fixture_.testbed().startOffice(i, 1000 + random_() % 1000);
+    killed_[i] = false;
   }
 
-  void act() {
-    const double what = lot();
-    const int i = place();
+  void performRandomAction() {
+    const double what = randomShare();
+    const int i = randomPlace();
     if (what < 0.6) {
-      const int to = (i + 1 + static_cast<int>(chance_() % (kPlaces - 1))) % kPlaces;
-      if (!down_[i]) dial(i, to, lot() < 0.2 ? "wide" : "call");
+      const int to = (i + 1 + static_cast<int>(random_() % (kPlaces - 1))) % kPlaces;
+      if (!killed_[i]) dial(i, to, randomShare() < 0.2 ? "wide" : "call");
     } else if (what < 0.85) {
-      if (phone_.dialled.empty()) return;
-      hangUp(**std::next(phone_.dialled.begin(), static_cast<std::ptrdiff_t>(chance_() % phone_.dialled.size())));
+      if (phone_.outgoingCalls.empty()) return;
+      hangUp(**std::next(phone_.outgoingCalls.begin(),
+                         static_cast<std::ptrdiff_t>(random_() % phone_.outgoingCalls.size())));
     } else if (what < 0.89) {
-      if (!down_[i]) fixture_.freeze(i, frozen_[i] = !frozen_[i]);
+      if (!killed_[i]) fixture_.freeze(i, frozen_[i] = !frozen_[i]);
     } else if (what < 0.91) {
       if (frozen_[i]) return;
-      if (down_[i]) return start(i);
+      if (killed_[i]) return start(i);
       fixture_.note("kill e" + std::to_string(i + 1));
       fixture_.testbed().killOffice(i);
-      down_[i] = true;
+      killed_[i] = true;
     } else if (what < 0.94) {
-      fixture_.exchange(i).hang(fixture_.now(), lot() < 0.5);
+      fixture_.exchange(i).hang(fixture_.now(), randomShare() < 0.5);
       fixture_.testbed().wakeUp(day::processorIdentity(i));
     } else if (what < 0.96) {
-      fixture_.setListedReadiness(i, lot() < 0.5 ? Readiness::draining : Readiness::gone, fixture_.exchange(i).mark());
+      fixture_.setListedReadiness(i, randomShare() < 0.5 ? Readiness::draining : Readiness::gone,
+                                  fixture_.exchange(i).mark());
     } else if (what < 0.965) {
-      deafFrom_ = fixture_.office(i);
-      deafTo_ = fixture_.office((i + 1) % kPlaces);
-      deafUntil_ = fixture_.now() + Span::ms(8000 * lot());
+      lossFrom_ = fixture_.office(i);
+      lossTo_ = fixture_.office((i + 1) % kPlaces);
+      lossUntil_ = fixture_.now() + Span::ms(8000 * randomShare());
     } else if (what < 0.98) {
       // Another processor in its place; the directory tells sooner or later.
       fixture_.startExchange(i, false);
       fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.exchange(i).mark(),
-                                  Span::ms(1500 * lot()));
+                                  Span::ms(1500 * randomShare()));
       fixture_.testbed().wakeUp(day::kDirectory);
     } else {
       fixture_.setListedReadiness(i, Readiness::ready, fixture_.exchange(i).mark());
     }
   }
 
-  std::mt19937 chance_;
+  std::mt19937 random_;
   FleetFixture fixture_;
   TestPhone phone_;
-  bool unrest_ = false;
-  iax2::Address deafFrom_{}, deafTo_{};
-  Instant deafUntil_ = Instant::longAgo();
-  bool frozen_[kPlaces] = {}, down_[kPlaces] = {};
+  bool isImpaired_ = false;
+  iax2::Address lossFrom_{}, lossTo_{};
+  Instant lossUntil_ = Instant::longAgo();
+  bool frozen_[kPlaces] = {}, killed_[kPlaces] = {};
 };
 
 /// Writes a history file of the notation in histories/README.md as a capture.
 void writeCapture(const std::string& history, const std::string& path) {
   std::ifstream in(history);
   REQUIRE(in.good());
-  struct Line {
+  struct CapturedDatagram {
     Instant at;
     bool delivered;
     iax2::Address from, to;
     std::vector<std::uint8_t> bytes;
   };
-  std::vector<Line> packets;
+  std::vector<CapturedDatagram> packets;
   const auto identity = [](const std::string& name) {
     const int number = name.size() == 2 ? name[1] - '1' : 0;
     return name == "caller"      ? day::kCallers
@@ -195,23 +199,23 @@
   };
   std::string text;
   while (std::getline(in, text)) {
-    std::istringstream words(text);
+    std::istringstream fields(text);
     double at = 0;
     std::string from, to, what;
     if (text.empty() || text[0] == '#') continue;
-    REQUIRE(static_cast<bool>(words >> at >> from >> to >> what));
+    REQUIRE(static_cast<bool>(fields >> at >> from >> to >> what));
     int times = 1;
     std::vector<std::uint8_t> bytes;
     iax2::Frame frame;
     std::string called;
     if (what == "note" || what == "list") {
       std::string rest;
-      std::getline(words >> std::ws, rest);
+      std::getline(fields >> std::ws, rest);
       std::replace(rest.begin(), rest.end(), '|', '\n');
       bytes.assign(rest.begin(), rest.end());
     } else {
       int source = 0, destination = 0, oseq = 0, iseq = 0;
-      REQUIRE(static_cast<bool>(words >> source >> destination >> oseq >> iseq));
+      REQUIRE(static_cast<bool>(fields >> source >> destination >> oseq >> iseq));
       frame.source = static_cast<std::uint16_t>(source);
       frame.destination = static_cast<std::uint16_t>(destination);
       frame.oseq = static_cast<std::uint8_t>(oseq);
@@ -221,7 +225,7 @@
       if (what == "ANSWER") frame.type = iax2::Type::control;
       frame.subclass = what == "ANSWER" ? static_cast<std::uint8_t>(iax2::Control::answer)
                                         : static_cast<std::uint8_t>(kIax.at(what));
-      for (std::string word; words >> word;) {
+      for (std::string word; fields >> word;) {
         const std::string key = word.substr(0, word.find('=')), value = word.substr(word.find('=') + 1);
         iax2::Elements& e = frame.elements;
         if (key == "number") e.calledNumber = called = value;
@@ -243,9 +247,10 @@
       packets.push_back({Instant::ms(at + (what == "note" ? 0 : 1)), true, identity(from), identity(to), bytes});
     }
   }
-  std::stable_sort(packets.begin(), packets.end(), [](const Line& a, const Line& b) { return a.at < b.at; });
+  std::stable_sort(packets.begin(), packets.end(),
+                   [](const CapturedDatagram& a, const CapturedDatagram& b) { return a.at < b.at; });
   capture::Writer writer(path);
-  for (const Line& one : packets) writer.write({one.at, one.delivered, one.from, one.to, one.bytes});
+  for (const CapturedDatagram& one : packets) writer.write({one.at, one.delivered, one.from, one.to, one.bytes});
   writer.close();
 }
 
@@ -254,11 +259,11 @@
 TEST_CASE("seeded histories of the whole program keep the rules, and peace leaves nothing behind") {
   std::uint64_t tries = 0, stood = 0, invites = 0;
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    const Outcome outcome = Unrest(seed, "seeded").play(15000);
+    const Outcome outcome = RandomHistory(seed, "seeded").play(15000);
     CAPTURE(seed);
     CAPTURE(audit::describe(outcome.findings));
     CHECK(outcome.findings.kept());
-    CHECK(outcome.atRest == "");
+    CHECK(outcome.leftovers == "");
     tries += outcome.findings.tries;
     stood += outcome.findings.stood;
     invites += outcome.findings.invites;
@@ -269,10 +274,10 @@
 }
 
 TEST_CASE("the same seed gives the same trace to the last datagram, another seed another") {
-  const std::string first = Unrest(3, "first").play(4000).trace;
+  const std::string first = RandomHistory(3, "first").play(4000).trace;
   CHECK(first.size() > 50000);
-  CHECK((first == Unrest(3, "second").play(4000).trace));
-  CHECK((first != Unrest(4, "third").play(4000).trace));
+  CHECK((first == RandomHistory(3, "second").play(4000).trace));
+  CHECK((first != RandomHistory(4, "third").play(4000).trace));
 }
 
 TEST_CASE("a history that breaks one rule is rejected for that rule and no other") {
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-struct Dialler {
-  explicit Dialler(FleetFixture& of) : fixture(of) { fixture.testbed().place(day::kCallers, phone); }
+struct CallingPhone {
+  explicit CallingPhone(FleetFixture& of) : fixture(of) { fixture.testbed().place(day::kCallers, phone); }
   iax2::Call* dial(int office, const std::string& number, Span limit = Span::ms(3000)) {
     iax2::Call* call = phone.dial(fixture.now(), fixture.office(office), number, limit);
     fixture.testbed().wakeUp(day::kCallers);
@@ -24,11 +24,11 @@
   TestPhone phone{99};
 };
 
-void checkAtRest(FleetFixture& fixture, int circuits) {
+void checkNothingHeld(FleetFixture& fixture, int circuits) {
   const int places = static_cast<int>(fixture.testbed().fleet().places.size());
   for (int i = 0; i < places; ++i) {
-    CHECK(fixture.account(i, "sessions") == 0);
-    CHECK(fixture.account(i, "legs") == 0);
+    CHECK(fixture.statusField(i, "sessions") == 0);
+    CHECK(fixture.statusField(i, "legs") == 0);
     for (int j = 0; j < places; ++j) {
       if (i != j) CHECK(fixture.freeCircuits(i, j) == circuits);
     }
@@ -40,7 +40,7 @@
 TEST_CASE("a session stands, holds its circuits at both ends, and ends") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   iax2::Call* call = callers.dial(0, "210001");
   fixture.run(200);
   CHECK(callers.phone.count("ANSWER") == 1);
@@ -49,7 +49,7 @@
   CHECK(fixture.exchange(1).standing() == 1);
   callers.hangUp(*call);
   fixture.run(300);
-  checkAtRest(fixture, 10);
+  checkNothingHeld(fixture, 10);
   CHECK(fixture.exchange(1).standing() == 0);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
@@ -59,7 +59,7 @@
 TEST_CASE("unknown numbers and services are refused once, with their own causes") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   callers.dial(0, "990001");
   fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 1);
@@ -75,13 +75,13 @@
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   fixture.exchange(1).hang(fixture.now(), true);
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   for (int i = 0; i < 5; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(3500);
-  CHECK(callers.phone.finals() == 5);
+  CHECK(callers.phone.finalResponses() == 5);
   CHECK(callers.phone.count("ANSWER") == 0);
   fixture.run(8000);
-  checkAtRest(fixture, 10);
+  checkNothingHeld(fixture, 10);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
   CHECK(findings.unanswered == 0);
@@ -95,22 +95,22 @@
     const bool late = from == 1 && to == 0 && frame.is(iax2::Control::answer);
     return std::vector<Span>{late ? Span::ms(1985) : Span::ms(5)};
   });
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   callers.dial(0, "210001");
   fixture.run(9000);
   CHECK(callers.phone.count("ANSWER") == 0);
-  CHECK(callers.phone.finals() == 1);
-  CHECK(fixture.account(0, "timed_out") == 1);
+  CHECK(callers.phone.finalResponses() == 1);
+  CHECK(fixture.statusField(0, "timed_out") == 1);
   CHECK(fixture.exchange(1).counters().stood == 1);
   CHECK(fixture.exchange(1).standing() == 0);
-  checkAtRest(fixture, 10);
+  checkNothingHeld(fixture, 10);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("the last circuit seized from both ends at once: one session stands, one is turned back, counts agree") {
   FleetFixture fixture(smallFleet(2, 1));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   iax2::Call* a = callers.dial(0, "210001");
   iax2::Call* b = callers.dial(1, "200001");
   fixture.run(400);
@@ -122,32 +122,32 @@
   callers.hangUp(*a);
   fixture.run(3000);
   (void)b;
-  checkAtRest(fixture, 1);
+  checkNothingHeld(fixture, 1);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("a group's two counts, by themselves") {
   TrunkGroup low(4, true), high(4, false);
-  REQUIRE(low.seize(3));
-  REQUIRE(high.seize(2));
-  CHECK_FALSE(low.admit(2));  // the controlling end turns back
-  CHECK(high.admit(3));       // the other lets in on top of what is in doubt
-  high.answered(2);           // its own was turned back
+  REQUIRE(low.seizeOutgoing(3));
+  REQUIRE(high.seizeOutgoing(2));
+  CHECK_FALSE(low.seizeIncoming(2));  // the controlling end turns back
+  CHECK(high.seizeIncoming(3));       // the other lets in on top of what is in doubt
+  high.confirmOutgoing(2);            // its own was turned back
   high.release(2);
   CHECK(low.free() == 1);
   CHECK(high.free() == 1);
   CHECK(high.glares() == 1);
-  CHECK_FALSE(high.admit(2));  // nothing in doubt any more: no glare, no circuit
+  CHECK_FALSE(high.seizeIncoming(2));  // nothing in doubt any more: no glare, no circuit
   high.resize(2);
-  CHECK(high.over() == 1);
+  CHECK(high.excess() == 1);
   CHECK(high.free() == 0);
-  CHECK_FALSE(high.seize(1));
+  CHECK_FALSE(high.seizeOutgoing(1));
 }
 
 TEST_CASE("an office frozen through a drain's grace sends nothing there when it wakes") {
   FleetFixture fixture(smallFleet(3, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   fixture.freeze(0, true);
   fixture.run(100);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i), Span::ms(9000));
@@ -157,7 +157,7 @@
   fixture.freeze(0, false);
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 0);
-  CHECK(callers.phone.finals() == 4);
+  CHECK(callers.phone.finalResponses() == 4);
   CHECK(fixture.exchange(1).counters().setUps == 0);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
@@ -169,16 +169,16 @@
   fixture.start();
   // A new processor under the office's nose: the INVITE that the old one held is reset.
   fixture.exchange(1).hang(fixture.now(), true);
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   callers.dial(0, "210001");
   fixture.run(400);
   fixture.startExchange(1, true);
   fixture.run(100);
-  CHECK(fixture.account(0, "invites") == 1);
+  CHECK(fixture.statusField(0, "invites") == 1);
   fixture.run(1400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.account(0, "reset") == 1);
-  CHECK(fixture.account(0, "invites") == 2);
+  CHECK(fixture.statusField(0, "reset") == 1);
+  CHECK(fixture.statusField(0, "invites") == 2);
   const auto findings = fixture.findings();
   CHECK(findings.kept());
 }
@@ -186,7 +186,7 @@
 TEST_CASE("with the directory dead from the start every session is refused at once") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start(false);
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
   fixture.run(100);
   CHECK(callers.phone.count("REJECT") == 3);
@@ -196,7 +196,7 @@
 TEST_CASE("an office that was killed with sessions standing comes back on its address and all counts agree") {
   FleetFixture fixture(smallFleet(3, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i));
   for (int i = 0; i < 3; ++i) callers.dial(1, "20000" + std::to_string(i));
   fixture.run(500);
@@ -209,7 +209,7 @@
   fixture.run(3000);
   CHECK(fixture.freeCircuits(1, 0) == 10);
   CHECK(fixture.freeCircuits(0, 1) == 10);
-  CHECK(fixture.account(1, "cut") == 3);
+  CHECK(fixture.statusField(1, "cut") == 3);
   callers.dial(0, "210009");
   fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 8);
@@ -219,19 +219,20 @@
 TEST_CASE("a peer that falls silent is given up and its circuits with it, and it is taken back") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   callers.dial(0, "210001");
   fixture.run(500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
-  bool parted = true;
-  fixture.impairBetweenOffices(
-      [&](int, int, const iax2::Frame&) { return parted ? std::vector<Span>() : std::vector<Span>{Span::ms(5)}; });
+  bool isDisconnected = true;
+  fixture.impairBetweenOffices([&](int, int, const iax2::Frame&) {
+    return isDisconnected ? std::vector<Span>() : std::vector<Span>{Span::ms(5)};
+  });
   fixture.run(9000);
   CHECK(callers.phone.count("HANGUP") == 1);
-  CHECK(fixture.account(0, "cut") == 1);
+  CHECK(fixture.statusField(0, "cut") == 1);
   fixture.run(9000);
-  checkAtRest(fixture, 10);
-  parted = false;
+  checkNothingHeld(fixture, 10);
+  isDisconnected = false;
   fixture.run(2500);
   callers.dial(0, "210002");
   fixture.run(3000);
@@ -244,12 +245,12 @@
   fleet.groups = {{0, 1, 10}, {1, 2, 10}};  // none between the first and the third
   FleetFixture fixture(fleet);
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   iax2::Call* call = callers.dial(0, "220001");
   fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.account(0, "two_leg") == 1);
-  CHECK(fixture.account(1, "transit") == 1);
+  CHECK(fixture.statusField(0, "two_leg") == 1);
+  CHECK(fixture.statusField(1, "transit") == 1);
   CHECK(fixture.freeCircuits(1, 0) == 9);
   CHECK(fixture.freeCircuits(1, 2) == 9);
   callers.hangUp(*call);
@@ -266,7 +267,7 @@
   callers.dial(0, "220003");
   fixture.run(3000);
   CHECK(callers.phone.count("ANSWER") == 2);
-  CHECK(fixture.account(0, "turned_back") >= 1);
+  CHECK(fixture.statusField(0, "turned_back") >= 1);
   CHECK(fixture.findings().kept());
 }
 
@@ -274,29 +275,29 @@
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   fixture.exchange(1).hang(fixture.now(), true);
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   for (int i = 0; i < 3; ++i) callers.dial(0, "21000" + std::to_string(i));
-  iax2::Call* stands = callers.dial(1, "200001");
-  (void)stands;
+  iax2::Call* established = callers.dial(1, "200001");
+  (void)established;
   fixture.run(300);
   CHECK(callers.phone.count("ANSWER") == 1);
   fixture.testbed().stopOffice(0);
   fixture.run(100);
-  CHECK(callers.phone.finals() == 1 + 3 + 1);  // the answer, three refusals, the end of the standing one
+  CHECK(callers.phone.finalResponses() == 1 + 3 + 1);  // the answer, three refusals, the end of the standing one
   callers.dial(0, "210009");
   fixture.run(1900);
   CHECK(callers.phone.count("REJECT") == 1);
-  CHECK(fixture.account(0, "sessions") == 0);
-  CHECK(fixture.account(0, "legs") == 0);
+  CHECK(fixture.statusField(0, "sessions") == 0);
+  CHECK(fixture.statusField(0, "legs") == 0);
   CHECK(fixture.freeCircuits(1, 0) == 10);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("the bound on sessions: more are refused at once and counted") {
   Fleet fleet = smallFleet(2, 10);
-  OfficeOptions setting;
-  setting.maxSessions = 2;
-  Office office(fleet, setting, Instant::ms(1000));
+  OfficeOptions options;
+  options.maxSessions = 2;
+  Office office(fleet, options, Instant::ms(1000));
   TestPhone phone(4);
   const iax2::Address at{1, 1}, from{2, 2};
   std::vector<std::vector<std::uint8_t>> toPhone;
@@ -310,7 +311,7 @@
   });
   for (const auto& bytes : toPhone) phone.receive(Instant::ms(1001), at, bytes);
   CHECK(phone.count("REJECT") == 3);
-  CHECK(office.counters().overFull == 1);
+  CHECK(office.counters().overSessionLimit == 1);
   CHECK(office.sessions() == 0);
 }
 
@@ -333,34 +334,35 @@
   Fleet fleet = smallFleet(2, 10);
   fleet.directory = {9, 9};
   Office office(fleet, OfficeOptions(), Instant::ms(1000));
-  const auto take = [&](const ExchangeList& one) {
+  const auto receiveList = [&](const ExchangeList& one) {
     office.receive(Instant::ms(1000), fleet.directory, bytes(encode(one)));
   };
-  take(list);
-  CHECK(office.told(1) == Readiness::draining);
+  receiveList(list);
+  CHECK(office.listedReadiness(1) == Readiness::draining);
   list.version = 1;
   list.entries[1].readiness = Readiness::ready;
-  take(list);
-  CHECK(office.told(1) == Readiness::draining);
-  CHECK(office.counters().listsStale == 1);
-  list.directory = 6;
-  take(list);
-  CHECK(office.told(1) == Readiness::ready);
+  receiveList(list);
+  CHECK(office.listedReadiness(1) == Readiness::draining);
+  CHECK(office.counters().staleLists == 1);
+  list.directoryIncarnation = 6;
+  receiveList(list);
+  CHECK(office.listedReadiness(1) == Readiness::ready);
   CHECK(office.trunkGroup(1)->size() == 4);
 }
 
 TEST_CASE("a sign of life of an office's former life, late on its way, costs its new life nothing") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
-  bool former = true;
+  CallingPhone callers(fixture);
+  bool isFormerIncarnation = true;
   fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
-    const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
+    const bool isPong = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
     // Doubled, and the second copy four seconds late.
-    return sign && former ? std::vector<Span>{Span::ms(5), Span::ms(4000)} : std::vector<Span>{Span::ms(5)};
+    return isPong && isFormerIncarnation ? std::vector<Span>{Span::ms(5), Span::ms(4000)}
+                                         : std::vector<Span>{Span::ms(5)};
   });
   fixture.run(2000);
-  former = false;
+  isFormerIncarnation = false;
   fixture.note("kill e2");
   fixture.testbed().killOffice(1);
   fixture.run(300);
@@ -372,29 +374,29 @@
   REQUIRE(callers.phone.count("ANSWER") == 3);
   fixture.run(6000);
   CHECK(callers.phone.count("HANGUP") == 0);
-  CHECK(fixture.account(0, "cut") == 0);
+  CHECK(fixture.statusField(0, "cut") == 0);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("what an exchange could take is not told of the one in its place, nor of one that is gone") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
-  bool blind = false;
-  int told = 0, refused = 0;
+  CallingPhone callers(fixture);
+  bool isListDelayed = false;
+  int withCapacity = 0, refused = 0;
   fixture.impairment = [&](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     iax2::Frame frame;
     const bool read = iax2::decode(bytes, frame) == iax2::DecodeResult::full;
     // The first office's own list lags, as lists do, so that it goes on sending.
-    if (blind && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
-    if (blind && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
+    if (isListDelayed && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
+    if (isListDelayed && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
         frame.is(iax2::Iax::REJECT)) {
       ++refused;
-      told += frame.elements.capacityPer1000s.has_value();
+      withCapacity += frame.elements.capacityPer1000s.has_value();
     }
     return std::vector<Span>{Span::ms(5)};
   };
-  blind = true;
+  isListDelayed = true;
   // Its process is replaced by one that hangs from the start: it gives signs of life, and says nothing of its room.
   fixture.startExchange(1, false).hang(fixture.now(), true);
   fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
@@ -402,52 +404,52 @@
   callers.dial(0, "210001");
   fixture.run(100);
   REQUIRE(refused == 1);
-  CHECK(told == 0);
+  CHECK(withCapacity == 0);
 }
 
 TEST_CASE("a directory in another's place whose clock is behind is believed once that one has been silent") {
   Fleet fleet = smallFleet(2, 10);
   fleet.directory = {9, 9};
   Office office(fleet, OfficeOptions(), Instant::ms(1000));
-  const auto take = [&](double at, std::uint64_t directory, std::uint64_t version, Readiness readiness) {
+  const auto receiveList = [&](double at, std::uint64_t directory, std::uint64_t version, Readiness readiness) {
     const std::string text = encode(ExchangeList{
         directory, version, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, readiness, 2, Span::ms(20)}}, {}});
     office.receive(Instant::ms(at), fleet.directory,
                    std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
   };
-  take(1000, 50, 7, Readiness::ready);
-  take(2000, 40, 1, Readiness::draining);  // may be late: the other was heard a second ago
-  CHECK(office.told(1) == Readiness::ready);
-  take(9000, 50, 8, Readiness::ready);
-  take(18000, 40, 18, Readiness::draining);
-  CHECK(office.told(1) == Readiness::ready);
-  take(19001, 40, 19, Readiness::draining);
-  CHECK(office.told(1) == Readiness::draining);
-  take(19500, 40, 18, Readiness::ready);  // its own order holds
-  CHECK(office.told(1) == Readiness::draining);
-  CHECK(office.counters().listsStale == 3);
+  receiveList(1000, 50, 7, Readiness::ready);
+  receiveList(2000, 40, 1, Readiness::draining);  // may be late: the other was heard a second ago
+  CHECK(office.listedReadiness(1) == Readiness::ready);
+  receiveList(9000, 50, 8, Readiness::ready);
+  receiveList(18000, 40, 18, Readiness::draining);
+  CHECK(office.listedReadiness(1) == Readiness::ready);
+  receiveList(19001, 40, 19, Readiness::draining);
+  CHECK(office.listedReadiness(1) == Readiness::draining);
+  receiveList(19500, 40, 18, Readiness::ready);  // its own order holds
+  CHECK(office.listedReadiness(1) == Readiness::draining);
+  CHECK(office.counters().staleLists == 3);
 }
 
 TEST_CASE("an exchange that rings three hundred times is passed on once, and its answer is heard") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  TestPhone bell(3);
+  TestPhone ringingPhone(3);
   fixture.testbed().remove(day::processorIdentity(1));
   fixture.run(5);
-  fixture.testbed().place(day::processorIdentity(1), bell);
-  Dialler callers(fixture);
+  fixture.testbed().place(day::processorIdentity(1), ringingPhone);
+  CallingPhone callers(fixture);
   callers.dial(0, "210001");
   fixture.run(100);
-  REQUIRE(bell.incomingCalls.size() == 1);
-  bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Iax::ACCEPT);
+  REQUIRE(ringingPhone.incomingCalls.size() == 1);
+  ringingPhone.endpoint().send(fixture.now(), *ringingPhone.incomingCalls[0], iax2::Iax::ACCEPT);
   for (int i = 0; i < 300; ++i) {
-    bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Control::ringing);
+    ringingPhone.endpoint().send(fixture.now(), *ringingPhone.incomingCalls[0], iax2::Control::ringing);
     if (i % 50 == 49) {
       fixture.testbed().wakeUp(day::processorIdentity(1));
       fixture.run(15);  // acknowledged before the next fifty
     }
   }
-  bell.endpoint().send(fixture.now(), *bell.incomingCalls[0], iax2::Control::answer);
+  ringingPhone.endpoint().send(fixture.now(), *ringingPhone.incomingCalls[0], iax2::Control::answer);
   fixture.testbed().wakeUp(day::processorIdentity(1));
   fixture.run(100);
   CHECK(callers.phone.count("RINGING") == 1);
@@ -459,18 +461,18 @@
 TEST_CASE("signs of life that waited in a frozen office say nothing of what was opened since") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
+  CallingPhone callers(fixture);
   // The other office answers, dies and is back while this one stands still: both signs of life wait there, and a NEW.
-  bool slow = true, asked = false;
+  bool isPongDelayed = true, isPoked = false;
   fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
-    asked = asked || (from == 0 && to == 1 && frame.is(iax2::Iax::POKE));
-    const bool sign = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
-    return std::vector<Span>{Span::ms(sign && slow ? 400 : 5)};
+    isPoked = isPoked || (from == 0 && to == 1 && frame.is(iax2::Iax::POKE));
+    const bool isPong = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
+    return std::vector<Span>{Span::ms(isPong && isPongDelayed ? 400 : 5)};
   });
-  for (int i = 0; i < 1500 && !asked; ++i) fixture.run(1);
-  REQUIRE(asked);
+  for (int i = 0; i < 1500 && !isPoked; ++i) fixture.run(1);
+  REQUIRE(isPoked);
   fixture.run(100);
-  slow = false;
+  isPongDelayed = false;
   fixture.freeze(0, true);
   fixture.note("kill e2");
   fixture.testbed().killOffice(1);
@@ -483,26 +485,26 @@
   fixture.freeze(0, false);
   fixture.run(4000);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.account(0, "invites") == 1);
-  CHECK(fixture.account(0, "reset") == 0);
+  CHECK(fixture.statusField(0, "invites") == 1);
+  CHECK(fixture.statusField(0, "reset") == 0);
   CHECK(fixture.findings().kept());
 }
 
 TEST_CASE("late copies of a peer's last sign of life neither keep it alive nor bring it back") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  Dialler callers(fixture);
-  bool parted = false;
+  CallingPhone callers(fixture);
+  bool isDisconnected = false;
   fixture.impairBetweenOffices([&](int from, int, const iax2::Frame& frame) {
-    if (parted) return std::vector<Span>();
-    const bool sign = from == 1 && frame.is(iax2::Iax::PONG);
-    return sign ? std::vector<Span>{Span::ms(5), Span::ms(5500), Span::ms(9000)} : std::vector<Span>{Span::ms(5)};
+    if (isDisconnected) return std::vector<Span>();
+    const bool isPong = from == 1 && frame.is(iax2::Iax::PONG);
+    return isPong ? std::vector<Span>{Span::ms(5), Span::ms(5500), Span::ms(9000)} : std::vector<Span>{Span::ms(5)};
   });
   callers.dial(0, "210001");
   fixture.run(1500);
   REQUIRE(callers.phone.count("ANSWER") == 1);
-  parted = true;
-  const auto silent = [&] {
+  isDisconnected = true;
+  const auto isPeerSilent = [&] {
     return boost::json::parse(fixture.testbed().ask(0, "thistlefold status 1\n").value())
         .at("exchanges")
         .at(1)
@@ -511,8 +513,8 @@
   };
   // Six seconds after the last POKE that was answered, and at most one POKE more.
   fixture.run(7200);
-  CHECK(silent());
-  CHECK(fixture.account(0, "cut") == 1);
+  CHECK(isPeerSilent());
+  CHECK(fixture.statusField(0, "cut") == 1);
   fixture.run(2500);
-  CHECK(silent());
+  CHECK(isPeerSilent());
 }
