--- a/src/iax2/endpoint.hpp
+++ b/src/iax2/endpoint.hpp
@@ -39,7 +39,7 @@
   /// A frame that concerns the session: each once and in order. `frame` points into the datagram and is valid during
   /// the call only.
   virtual void onFrame(Call& call, const Frame& frame) = 0;
-  /// The end of the call. Called exactly once, after all onFrame(), unless the owner has been taken off before.
+  /// The end of the call. Called exactly once, after all onFrame(), unless the owner has been removed before.
   virtual void onCallEnded(Call& call, CallEnd how) = 0;
 };
 
@@ -66,7 +66,7 @@
   bool closing() const { return isClosing_; }
   /// True once the far end has sent its call number.
   bool answered() const { return remote_ != 0; }
-  /// Null takes the owner off. The owner must outlive the call's last onCallEnded().
+  /// Null removes the owner. The owner must outlive the call's last onCallEnded().
   void setOwner(CallOwner* owner) { owner_ = owner; }
 
  private:
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -266,7 +266,7 @@
     return;
   }
   if (e.calledNumber.size() > kMaxNumberLength) {
-    return rejectCall(call, ReleaseReason::noRoute, kNoRoute, "the called number must have 1 to 32 digits",
+    return rejectCall(call, ReleaseReason::noRoute, kNoRoute, "a called number of 1 to 32 digits is wanted",
                       Span::none());
   }
   const std::uint64_t id = std::uint64_t{static_cast<std::uint32_t>(options_.place + 1) & 0xfff} << 52 |
@@ -1069,7 +1069,7 @@
 
 /// Handles a peer that was restarted and has lost its sessions, or that has been silent for too long.
 void Office::onPeerLost(Peer& peer, bool restarted) {
-  notifyObserver(OfficeEvent::Kind::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
+  notifyObserver(OfficeEvent::Kind::peerLost, nullptr, &peer, restarted ? "restarted" : "silent");
   peer.isSilent = !restarted;
   // The capacity was reported by the earlier incarnation.
   if (&peer == ownExchange_) ownExchange_->processorCapacity = -1;
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -2,7 +2,7 @@
 
 // The session engine of one office, between the IAX2 signalling and the routing module. It does no I/O, reads no clock
 // and starts no threads. Received frames become the module's RoundEvents; the decisions that the module writes to its
-// DecisionSink become frames. The engine takes no routing decision: the module decides on every INVITE that leaves an
+// DecisionSink become frames. The engine makes no routing decision: the module decides on every INVITE that leaves an
 // office, except for the last step from the destination's office into its own exchange, where there is only one way.
 
 #include <cstdint>
@@ -41,7 +41,7 @@
     dropped,        // an established session ended by a fault
     peerLost,       // another office or the own exchange was restarted or has been silent for too long
     peerRecovered,  // one that was silent answers again
-    listed          // the directory reported another readiness or start of an exchange
+    listed          // the directory reported another readiness or processor of an exchange
   };
   Kind kind;
   std::uint64_t session = 0;  ///< Session number, 0 if the event concerns none.
@@ -211,7 +211,7 @@
   };
   std::set<HeldSession*, EarlierDeadline> sessionsByDeadline_;  // those that have a deadline
   std::vector<ModuleEvent> events_;                             // for the next round
-  std::vector<Peer*> changedGroups_;                            // whose circuits the module is told in the next round
+  std::vector<Peer*> changedGroups_;  // whose circuits are reported to the module in the next round
   // Messages that are not IAX2, to the directory and to offices of the own zone.
   std::vector<std::pair<iax2::Address, std::string>> outgoingMessages_;
   Instant wakeUpAt_ = Instant::longAgo();  // when the module asked for its next round
--- a/src/office/zones_report.cpp
+++ b/src/office/zones_report.cpp
@@ -15,7 +15,8 @@
 // A report must fit in one UDP datagram, whose payload is at most 65,507 bytes. The buckets stop beyond this size.
 constexpr std::size_t kMaxReportBytes = 60000;
 
-/// Quotes text for JSON. Calling numbers are untrusted input, so anything but plain ASCII becomes a query mark.
+/// Quotes text for JSON. Calling numbers are untrusted input, so anything but plain ASCII becomes a question
+/// mark.
 std::string quoted(std::string_view text) {
   std::string out = "\"";
   for (const char c : text) {
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Helpers: a small fleet on the virtual stage, a telephone that speaks IAX2 by hand, controllers that misbehave.
+// Helpers of the program tests: a small fleet on the virtual testbed, a phone that is controlled frame by frame, and
+// controllers that break the rules.
 
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -21,6 +22,8 @@
 
 namespace thistlefold::test {
 
+/// A fleet in one zone, named "home", with a group of `circuits` circuits between any two of its places. Exchange
+/// number i (from 0) is named "e" and i + 1, and called numbers that begin with 20 + i end there.
 inline Fleet smallFleet(int places, int circuits) {
   Fleet fleet;
   fleet.offeredServices = {{"call", 1}, {"wide", 4}};
@@ -51,11 +54,13 @@
   return fleet;
 }
 
-/// What a test dials and answers with. Remembers all it hears.
+/// Opens and answers calls as a test demands, and counts the frames that it receives. Accepts every incoming call, but
+/// sends no ACCEPT by itself.
 class TestPhone final : public DatagramHandler, private iax2::CallListener, private iax2::CallOwner {
  public:
   explicit TestPhone(std::uint64_t seed) : endpoint_(*this, seed) {}
 
+  /// Opens a call to the office at `to`; `limit` is the time left that the NEW carries.
   iax2::Call* dial(Instant now, iax2::Address to, const std::string& number, Span limit = Span::ms(3000),
                    const std::string& service = "call") {
     iax2::Elements e;
@@ -78,15 +83,17 @@
   Instant nextDeadline() const override { return endpoint_.nextDue(); }
   iax2::Endpoint& endpoint() { return endpoint_; }
 
+  /// Frames received of one name, as iax2::name() has it.
   int count(const std::string& name) const {
     const auto it = receivedFrames_.find(name);
     return it == receivedFrames_.end() ? 0 : it->second;
   }
+  /// Frames received that answer or end a call.
   int finalResponses() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
-  std::deque<iax2::Call*> incomingCalls;  // that came in
-  std::deque<iax2::Call*> outgoingCalls;  // from here, and not over yet
-  std::uint64_t lastSession = 0;
-  std::uint8_t lastCause = 0;
+  std::deque<iax2::Call*> incomingCalls;  // received and not yet ended
+  std::deque<iax2::Call*> outgoingCalls;  // opened here and not yet ended
+  std::uint64_t lastSession = 0;          // session number of the NEW received last
+  std::uint8_t lastCause = 0;             // cause code received last
   iax2::CallEnd lastCallEnd = iax2::CallEnd::localHangUp;
   int endedCalls = 0;
 
@@ -115,12 +122,13 @@
   std::map<std::string, int> receivedFrames_;
 };
 
-/// A fleet on the virtual stage with a directory, exchanges, and a capture that is audited at the end.
+/// A fleet on the virtual testbed with a directory, simulated exchanges, and a capture of all datagrams, which
+/// findings() audits. Datagrams take 5 ms unless `impairment` is set.
 class FleetFixture {
  public:
-  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& capture = "town")
+  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& captureName = "fleet")
       : path_((std::filesystem::temp_directory_path() /
-               ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng"))
+               ("thistlefold-" + captureName + "-" + std::to_string(::getpid()) + ".pcapng"))
                   .string()),
         testbed_(day::virtualTestbed(std::move(fleet), std::move(make))),
         capture_(path_),
@@ -142,12 +150,14 @@
     std::filesystem::remove(path_);
   }
 
+  /// Starts the directory, all exchanges (warm) and all offices, and lets 1.5 s pass.
   void start(bool withDirectory = true) {
     if (withDirectory) testbed_->place(day::kDirectory, directory_);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) startExchange(static_cast<int>(i), true);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
     run(1500);
   }
+  /// Starts an exchange, or replaces a running one by another processor.
   SimulatedExchange& startExchange(int place, bool warm) {
     auto& at = exchanges_[static_cast<std::size_t>(place)];
     if (at != nullptr) {
@@ -165,27 +175,33 @@
     testbed_->place(day::processorIdentity(place), *at);
     return *at;
   }
+  /// The exchange that runs at `place` now.
   SimulatedExchange& exchange(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
   SimulatedDirectory& directory() { return directory_; }
-  void setListedReadiness(int place, Readiness readiness, std::uint64_t mark) {
-    directory_.learns(testbed_->now(), place, readiness, mark, Span::none());
+  /// Makes the directory report that the processor with that incarnation has this readiness.
+  void setListedReadiness(int place, Readiness readiness, std::uint64_t incarnation) {
+    directory_.learns(testbed_->now(), place, readiness, incarnation, Span::none());
     testbed_->wakeUp(day::kDirectory);
   }
   day::Testbed& testbed() { return *testbed_; }
   Instant now() const { return testbed_->now(); }
+  /// Lets `ms` milliseconds of virtual time pass.
   void run(double ms) { testbed_->runUntil(testbed_->now() + Span::ms(ms)); }
+  /// Records an action in the capture, as a day's script does.
   void note(const std::string& text) { capture_.note(testbed_->now(), text); }
+  /// Pauses an office, whose datagrams wait, or lets it run again.
   void freeze(int place, bool frozen) {
     note((frozen ? "freeze " : "thaw ") + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
     testbed_->freezeOffice(place, frozen);
   }
   iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
-  /// What `field` of an office's account says.
+  /// A number from an office's status report.
   std::int64_t statusField(int place, const std::string& field) {
     return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
         .at(field)
         .to_number<std::int64_t>();
   }
+  /// Free circuits of the group to `other`, as counted by the office at `place`.
   std::int64_t freeCircuits(int place, int other) {
     return boost::json::parse(testbed_->ask(place, "thistlefold status 1\n").value())
         .at("exchanges")
@@ -193,23 +209,25 @@
         .at("free")
         .to_number<std::int64_t>();
   }
+  /// Closes the capture and audits it. To be called once, at the end.
   audit::Findings findings() {
     capture_.close();
     return audit::audit(testbed_->fleet(), path_, testbed_->tolerance());
   }
   const std::string& path() const { return path_; }
 
+  /// Delays of the copies of each datagram; none: it is lost.
   net::Impairment impairment;
-  /// Fate of frames between offices, by place; all else takes five milliseconds.
-  void impairBetweenOffices(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
-    impairment = [this, what = std::move(what)](iax2::Address from, iax2::Address to,
-                                                std::vector<std::uint8_t>& bytes) {
+  /// Sets the impairment of frames between offices, by place; all other datagrams take 5 ms.
+  void impairBetweenOffices(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> delays) {
+    impairment = [this, delays = std::move(delays)](iax2::Address from, iax2::Address to,
+                                                    std::vector<std::uint8_t>& bytes) {
       const std::vector<iax2::Address> all = offices();
       const auto a = std::find(all.begin(), all.end(), from), b = std::find(all.begin(), all.end(), to);
       iax2::Frame frame;
       if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::DecodeResult::full)
         return std::vector<Span>{Span::ms(5)};
-      return what(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
+      return delays(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
     };
   }
 
@@ -226,8 +244,8 @@
   std::vector<std::unique_ptr<SimulatedExchange>> exchanges_;
 };
 
-/// Sends every session direct at once and again whenever it comes back, whatever it was told. With `twice` it sends
-/// two INVITEs, with `silent` it answers nobody.
+/// Sends every session direct at once, and again whenever an INVITE fails, regardless of lists, capacity and release
+/// time. With `sendTwice` it sends two INVITEs at a time; with `neverAnswer` it neither sends nor answers any session.
 class RogueController final : public Controller {
  public:
   struct Faults {
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -1,6 +1,6 @@
-// The rules' checker over histories: seeded ones that drive the whole program on the virtual stage while any datagram
-// may be late, doubled, out of order or about something closed, and one a rule, kept as a file, that the audit must
-// reject.
+// The audit of the rules over histories. Random histories from a seed run the whole program on the virtual testbed
+// while datagrams are delayed, duplicated, reordered or concern calls that have ended; they must keep the rules. For
+// each rule there is also a file with a history that breaks it, which the audit must reject.
 
 #include <algorithm>
 #include <fstream>
@@ -27,10 +27,11 @@
 struct Outcome {
   audit::Findings findings;
   std::string trace;
-  std::string leftovers;  // what was left over once all was quiet, in words
+  std::string leftovers;  // text; describes what is still held after the final quiet period, empty if nothing is
 };
 
-/// Every second seed has the third office in a zone of its own, and a budget to it that the other two lend each other.
+/// With odd seeds the third office is in a zone of its own, with a budget to it that the other two offices lend each
+/// other.
 Fleet makeFleet(std::uint32_t seed) {
   Fleet fleet = smallFleet(kPlaces, kCircuits);
   if (seed % 2 == 0) return fleet;
@@ -44,12 +45,14 @@
   return fleet;
 }
 
-/// Plays `length` of unrest, then peace until everything can have come to its end.
+/// Plays a random history from a seed: a period of random actions on an impaired network, then a quiet period in which
+/// everything must end, then one more call to each exchange.
 class RandomHistory {
  public:
   explicit RandomHistory(std::uint32_t seed, const std::string& name)
       : random_(seed), fixture_(makeFleet(seed), makeController, name), phone_(seed) {}
 
+  /// `length`: of the period of random actions, in milliseconds.
   Outcome play(double length) {
     fixture_.start();
     fixture_.testbed().place(day::kCallers, phone_);
@@ -71,7 +74,7 @@
       fixture_.testbed().wakeUp(day::processorIdentity(i));
       fixture_.setListedReadiness(i, Readiness::ready, fixture_.exchange(i).mark());
     }
-    // The latest copies of the unrest are eight seconds late, and a peer's silence is believed after six.
+    // Copies of datagrams arrive up to 8 s late, and a peer counts as silent after 6 s.
     fixture_.run(12000);
     for (iax2::Call* call : std::vector<iax2::Call*>(phone_.outgoingCalls.begin(), phone_.outgoingCalls.end()))
       hangUp(*call);
@@ -83,15 +86,15 @@
           outcome.leftovers += "office " + std::to_string(i) + " has " + what + "; ";
       }
       for (int j = 0; j < kPlaces; ++j) {
-        if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.leftovers += "circuits are held; ";
+        if (i != j && fixture_.freeCircuits(i, j) != kCircuits) outcome.leftovers += "circuits are in use; ";
       }
-      if (fixture_.exchange(i).standing() != 0) outcome.leftovers += "a session stands at an exchange; ";
+      if (fixture_.exchange(i).standing() != 0) outcome.leftovers += "an exchange has an established session; ";
     }
-    // Peace serves again what is offered.
+    // On the healthy network every call must be answered again.
     const int before = phone_.count("ANSWER");
     for (int i = 0; i < kPlaces; ++i) dial(i, (i + 1) % kPlaces, "call");
     fixture_.run(3000);
-    if (phone_.count("ANSWER") != before + kPlaces) outcome.leftovers += "peace does not serve what is offered; ";
+    if (phone_.count("ANSWER") != before + kPlaces) outcome.leftovers += "calls are not answered after recovery; ";
     outcome.findings = fixture_.findings();
     outcome.trace = contents(fixture_.path());
     fixture_.testbed().remove(day::kCallers);
@@ -103,9 +106,10 @@
   double randomShare() { return std::generate_canonical<double, 32>(random_); }
   int randomPlace() { return static_cast<int>(random_() % kPlaces); }
 
+  /// Delays of the copies of a datagram; empty: it is lost.
   std::vector<Span> impairment(iax2::Address from, iax2::Address to) {
     if (!isImpaired_) return {Span::ms(5)};
-    // Deaf one way: what goes from one office to another is lost, what comes back is not.
+    // One-way loss between two offices.
     if (fixture_.now() < lossUntil_ && from == lossFrom_ && to == lossTo_) return {};
     if (randomShare() < 0.04) return {};
     const auto delay = [&] { return Span::ms(randomShare() < 0.08 ? 400 * randomShare() : 4 + 2 * randomShare()); };
@@ -159,7 +163,7 @@
       lossTo_ = fixture_.office((i + 1) % kPlaces);
       lossUntil_ = fixture_.now() + Span::ms(8000 * randomShare());
     } else if (what < 0.98) {
-      // Another processor in its place; the directory tells sooner or later.
+      // The processor is replaced, and the directory reports that sooner or later.
       fixture_.startExchange(i, false);
       fixture_.directory().learns(fixture_.now(), i, Readiness::ready, fixture_.exchange(i).mark(),
                                   Span::ms(1500 * randomShare()));
@@ -178,7 +182,7 @@
   bool frozen_[kPlaces] = {}, killed_[kPlaces] = {};
 };
 
-/// Writes a history file of the notation in histories/README.md as a capture.
+/// Converts a history file, in the notation of histories/README.md, to a capture.
 void writeCapture(const std::string& history, const std::string& path) {
   std::ifstream in(history);
   REQUIRE(in.good());
@@ -256,7 +260,7 @@
 
 }  // namespace
 
-TEST_CASE("seeded histories of the whole program keep the rules, and peace leaves nothing behind") {
+TEST_CASE("random histories of the whole program keep the rules and leave nothing held after recovery") {
   std::uint64_t tries = 0, stood = 0, invites = 0;
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     const Outcome outcome = RandomHistory(seed, "seeded").play(15000);
@@ -273,7 +277,7 @@
   CHECK(invites > 625);
 }
 
-TEST_CASE("the same seed gives the same trace to the last datagram, another seed another") {
+TEST_CASE("the same seed gives the same capture to the last datagram, another seed a different one") {
   const std::string first = RandomHistory(3, "first").play(4000).trace;
   CHECK(first.size() > 50000);
   CHECK((first == RandomHistory(3, "second").play(4000).trace));
--- a/tests/program/iax2.cpp
+++ b/tests/program/iax2.cpp
@@ -1,4 +1,4 @@
-// The signalling: frames as bytes, and two endpoints that talk over a bad line.
+// IAX2 signalling: encoding and decoding of frames, and two endpoints over an impaired link.
 
 #include <doctest/doctest.h>
 
@@ -16,7 +16,8 @@
 
 const Address kA{0x7f000001, 1001}, kB{0x7f000001, 1002};
 
-/// Two telephones and a line between them that a function spoils.
+/// Two phones and a link between them. `impair` may change a datagram and returns the delays of its copies; without it
+/// each datagram takes 2 ms.
 struct ImpairedLink {
   TestPhone a{1}, b{2};
   Instant now = Instant::ms(1000);
@@ -69,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("a NEW as RFC 5456 lays it out") {
+TEST_CASE("a NEW is encoded as in RFC 5456") {
   FrameHeader header;
   header.source = 0x1234;
   header.timestamp = 0x01020304;
@@ -80,7 +81,7 @@
   CHECK(encode(header, e) == bytes({0x92, 0x34, 0, 0, 1, 2, 3, 4, 0, 0, 6, 1, 0x0b, 2, 0, 2, 1, 2, '2', '1'}));
 }
 
-TEST_CASE("every element survives the wire") {
+TEST_CASE("every element is decoded as it was encoded") {
   Elements e;
   e.calledNumber = "2001";
   e.callingNumber = "100";
@@ -108,7 +109,7 @@
   CHECK(frame.elements.releaseReason == ReleaseReason::turnedBack);
 }
 
-TEST_CASE("what is no frame is told apart") {
+TEST_CASE("malformed datagrams and mini frames are recognised, unknown elements are skipped") {
   Frame frame;
   CHECK(decode(bytes({}), frame) == DecodeResult::malformed);
   CHECK(decode(bytes({0x80, 1, 0}), frame) == DecodeResult::malformed);
@@ -116,10 +117,10 @@
   auto header = bytes({0x80, 2, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1});
   CHECK(decode(header, frame) == DecodeResult::full);
   auto overrunning = header;
-  overrunning.insert(overrunning.end(), {1, 5, '2'});  // runs over the end
+  overrunning.insert(overrunning.end(), {1, 5, '2'});  // the element runs over the end
   CHECK(decode(overrunning, frame) == DecodeResult::malformed);
   auto wrongLength = header;
-  wrongLength.insert(wrongLength.end(), {0x0b, 1, 2});  // a version of one byte
+  wrongLength.insert(wrongLength.end(), {0x0b, 1, 2});  // a version must have two bytes
   CHECK(decode(wrongLength, frame) == DecodeResult::malformed);
   auto unknown = header;
   unknown.insert(unknown.end(), {0xfe, 2, 9, 9, 1, 1, '7'});
@@ -128,7 +129,8 @@
   CHECK(decode(std::vector<std::uint8_t>(kMaxDatagramBytes + 1, 0x80), frame) == DecodeResult::malformed);
 }
 
-TEST_CASE("a call is opened, answered and ended, each frame heard once, on a line that loses, doubles and reorders") {
+TEST_CASE(
+    "on a link that loses, duplicates and reorders, calls are set up and ended and each frame is delivered once") {
   ImpairedLink link;
   std::mt19937 random(3);
   link.impair = [&](std::vector<std::uint8_t>&) {
@@ -165,7 +167,7 @@
   CHECK(link.b.endpoint().calls() == 0);
 }
 
-TEST_CASE("a NEW that comes again after its call has ended opens no second call") {
+TEST_CASE("a NEW received again after its call has ended opens no second call") {
   ImpairedLink link;
   Call* call = link.a.dial(link.now, kB, "2001");
   link.run(50);
@@ -181,9 +183,9 @@
   CHECK(link.b.count("NEW") == 1);
 }
 
-TEST_CASE("a HANGUP without the other end's number ends the call that its NEW opened") {
-  // A sender that gives up on an end that stood still: NEW and HANGUP wait there together. Without the fix the call
-  // stays up at the other end until it is probed.
+TEST_CASE("a HANGUP without the far end's call number ends the call that its NEW opened") {
+  // A sender gives up on an end that is paused, where NEW and HANGUP then wait together. If the HANGUP is not matched
+  // by the sender's number, the call stays up at that end until it is probed.
   ImpairedLink link;
   Call* call = link.a.dial(link.now, kB, "2001");
   link.impair = [](std::vector<std::uint8_t>&) { return std::vector<Span>{Span::ms(300)}; };
@@ -195,7 +197,7 @@
   CHECK(link.b.incomingCalls.empty());
 }
 
-TEST_CASE("a frame that goes missing is asked for with VNAK") {
+TEST_CASE("a missing frame is requested with VNAK") {
   ImpairedLink link;
   Call* call = link.a.dial(link.now, kB, "2001");
   link.run(50);
@@ -209,7 +211,7 @@
   Call* at = link.b.incomingCalls.front();
   link.b.endpoint().send(link.now, *at, Control::ringing);
   link.b.endpoint().send(link.now, *at, Control::answer);
-  link.run(30);  // well before any repeat
+  link.run(30);  // well before the first retransmission
   CHECK(link.b.endpoint().counts().vnakReceived == 1);
   CHECK(link.a.count("RINGING") == 1);
   CHECK(link.a.count("ANSWER") == 1);
@@ -217,7 +219,7 @@
   link.run(100);
 }
 
-TEST_CASE("silence ends a call after all repeats, INVAL at once") {
+TEST_CASE("silence ends a call after the last retransmission, INVAL at once") {
   ImpairedLink link;
   link.a.dial(link.now, kB, "2001");
   link.impair = [](std::vector<std::uint8_t>&) { return std::vector<Span>(); };
@@ -229,12 +231,12 @@
   link.a.dial(link.now, kB, "2002");
   link.run(100);
   link.b.endpoint().discard(*link.b.incomingCalls.front());
-  link.run(21000);  // the PING of a quiet call
+  link.run(21000);  // beyond the PING of an idle call
   CHECK(link.a.endedCalls == 2);
   CHECK(link.a.lastCallEnd == CallEnd::unknownCall);
 }
 
-TEST_CASE("call numbers run out, are refused cleanly, and come back") {
+TEST_CASE("no call is opened when call numbers are exhausted, and a released number is used again") {
   TestPhone a(1);
   DialogueTiming timing;
   timing.maxCalls = 100000;
@@ -251,14 +253,14 @@
   while (Call* call = endpoint.open(now, kB, nullptr, e)) calls.push_back(call);
   CHECK(calls.size() == 32766);  // 2 to 32767
   CHECK(endpoint.counts().noCallNumber == 1);
-  CHECK(endpoint.open(now, kA, nullptr, e) != nullptr);  // numbers are by peer
+  CHECK(endpoint.open(now, kA, nullptr, e) != nullptr);  // numbers are allocated by peer
   endpoint.discard(*calls[100]);
   Call* again = endpoint.open(now, kB, nullptr, e);
   REQUIRE(again != nullptr);
   CHECK(endpoint.open(now, kB, nullptr, e) == nullptr);
 }
 
-TEST_CASE("the bound on calls is kept and counted") {
+TEST_CASE("calls beyond the limit are not opened and are counted") {
   struct IgnoringListener : CallListener {
     void onIncomingCall(Call&, const Frame&) override {}
     void onPong(Address, const Frame&) override {}
@@ -272,7 +274,7 @@
   CHECK(endpoint.counts().overCallLimit == 1);
 }
 
-TEST_CASE("no bytes upset an endpoint: 200,000 mutated frames from a seed") {
+TEST_CASE("an endpoint withstands 200,000 mutated frames from a fixed seed") {
   ImpairedLink link;
   Call* call = link.a.dial(link.now, kB, "2001");
   link.run(50);
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -1,4 +1,5 @@
-// The session engine against stand-ins on the virtual network: the failures it is built for, each caused.
+// The session engine against simulated exchanges, directory and callers on the virtual network. Each test causes one of
+// the failures that the engine has to handle.
 
 #include "fleet_fixture.hpp"
 
@@ -9,6 +10,7 @@
 
 namespace {
 
+/// A phone at the callers' address, which makes the testbed run it after each action.
 struct CallingPhone {
   explicit CallingPhone(FleetFixture& of) : fixture(of) { fixture.testbed().place(day::kCallers, phone); }
   iax2::Call* dial(int office, const std::string& number, Span limit = Span::ms(3000)) {
@@ -24,6 +26,7 @@
   TestPhone phone{99};
 };
 
+/// Checks that no office has a session or leg, and that all circuits of all groups are free.
 void checkNothingHeld(FleetFixture& fixture, int circuits) {
   const int places = static_cast<int>(fixture.testbed().fleet().places.size());
   for (int i = 0; i < places; ++i) {
@@ -37,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a session stands, holds its circuits at both ends, and ends") {
+TEST_CASE("a session is established, uses its circuits at both ends, and frees them when it ends") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -56,7 +59,7 @@
   CHECK(findings.stood == 1);
 }
 
-TEST_CASE("unknown numbers and services are refused once, with their own causes") {
+TEST_CASE("unknown numbers and services are rejected once, each with its own cause") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -71,7 +74,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("an exchange that takes set-ups and answers none costs each session one answer in time") {
+TEST_CASE("sessions to an exchange that accepts set-ups and answers none get one negative answer each in time") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   fixture.exchange(1).hang(fixture.now(), true);
@@ -87,10 +90,10 @@
   CHECK(findings.unanswered == 0);
 }
 
-TEST_CASE("an ANSWER that crosses the HANGUP of a time-out is cleaned up and never stands") {
+TEST_CASE("an ANSWER that crosses the HANGUP of a timeout establishes no session and leaves nothing behind") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  // The exchange's answer leaves at 20 ms or so; held back until just after the office has given up.
+  // The exchange answers after some 20 ms. Its answer is delayed until just after the office has given up.
   fixture.impairBetweenOffices([](int from, int to, const iax2::Frame& frame) {
     const bool late = from == 1 && to == 0 && frame.is(iax2::Control::answer);
     return std::vector<Span>{late ? Span::ms(1985) : Span::ms(5)};
@@ -107,7 +110,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("the last circuit seized from both ends at once: one session stands, one is turned back, counts agree") {
+TEST_CASE("glare on the last circuit: one session is established, one is turned back, and both counts agree") {
   FleetFixture fixture(smallFleet(2, 1));
   fixture.start();
   CallingPhone callers(fixture);
@@ -115,7 +118,7 @@
   iax2::Call* b = callers.dial(1, "200001");
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 1);
-  CHECK(fixture.exchange(1).standing() == 1);  // the controlling end, of the lower place, keeps its own
+  CHECK(fixture.exchange(1).standing() == 1);  // the lower place is the controlling end and keeps its session
   CHECK(fixture.exchange(0).standing() == 0);
   CHECK(fixture.freeCircuits(0, 1) == 0);
   CHECK(fixture.freeCircuits(1, 0) == 0);
@@ -126,25 +129,25 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("a group's two counts, by themselves") {
+TEST_CASE("the counts of both ends of a trunk group under glare and resizing") {
   TrunkGroup low(4, true), high(4, false);
   REQUIRE(low.seizeOutgoing(3));
   REQUIRE(high.seizeOutgoing(2));
-  CHECK_FALSE(low.seizeIncoming(2));  // the controlling end turns back
-  CHECK(high.seizeIncoming(3));       // the other lets in on top of what is in doubt
-  high.confirmOutgoing(2);            // its own was turned back
+  CHECK_FALSE(low.seizeIncoming(2));  // the controlling end turns the session back
+  CHECK(high.seizeIncoming(3));       // the other end accepts up to its unconfirmed circuits
+  high.confirmOutgoing(2);            // its own session was turned back
   high.release(2);
   CHECK(low.free() == 1);
   CHECK(high.free() == 1);
   CHECK(high.glares() == 1);
-  CHECK_FALSE(high.seizeIncoming(2));  // nothing in doubt any more: no glare, no circuit
+  CHECK_FALSE(high.seizeIncoming(2));  // nothing is unconfirmed, so there is no glare and no circuit
   high.resize(2);
   CHECK(high.excess() == 1);
   CHECK(high.free() == 0);
   CHECK_FALSE(high.seizeOutgoing(1));
 }
 
-TEST_CASE("an office frozen through a drain's grace sends nothing there when it wakes") {
+TEST_CASE("an office paused beyond the drain grace sends nothing to the draining exchange when it resumes") {
   FleetFixture fixture(smallFleet(3, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -153,7 +156,7 @@
   for (int i = 0; i < 4; ++i) callers.dial(0, "21000" + std::to_string(i), Span::ms(9000));
   fixture.run(100);
   fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
-  fixture.run(1500);  // three times the grace
+  fixture.run(1500);  // three times the drain grace
   fixture.freeze(0, false);
   fixture.run(400);
   CHECK(callers.phone.count("ANSWER") == 0);
@@ -164,10 +167,10 @@
   CHECK(findings.invites == 0);
 }
 
-TEST_CASE("a reset is followed by no INVITE within the release time, and then by one") {
+TEST_CASE("after a reset no INVITE is sent within the release time, and one is sent after it") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
-  // A new processor under the office's nose: the INVITE that the old one held is reset.
+  // The processor is replaced while an INVITE to it is pending, which is reset.
   fixture.exchange(1).hang(fixture.now(), true);
   CallingPhone callers(fixture);
   callers.dial(0, "210001");
@@ -183,7 +186,7 @@
   CHECK(findings.kept());
 }
 
-TEST_CASE("with the directory dead from the start every session is refused at once") {
+TEST_CASE("without a directory from the start every session is rejected at once") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start(false);
   CallingPhone callers(fixture);
@@ -193,7 +196,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("an office that was killed with sessions standing comes back on its address and all counts agree") {
+TEST_CASE("after an office with established sessions is killed and restarted all circuit counts agree") {
   FleetFixture fixture(smallFleet(3, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -216,7 +219,8 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("a peer that falls silent is given up and its circuits with it, and it is taken back") {
+TEST_CASE(
+    "sessions over a silent peer are dropped and their circuits freed, and the peer is used again when it recovers") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -240,9 +244,9 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("a lost tandem leg, a turn-back and a two-leg session") {
+TEST_CASE("a two-leg session, a lost leg behind the tandem, and a turn-back") {
   Fleet fleet = smallFleet(3, 10);
-  fleet.groups = {{0, 1, 10}, {1, 2, 10}};  // none between the first and the third
+  fleet.groups = {{0, 1, 10}, {1, 2, 10}};  // no group between the first and the third office
   FleetFixture fixture(fleet);
   fixture.start();
   CallingPhone callers(fixture);
@@ -256,7 +260,7 @@
   callers.hangUp(*call);
   fixture.run(1000);
   CHECK(fixture.freeCircuits(1, 2) == 10);
-  // The tandem's own group to the destination is lost: it cuts what is on it and turns back what comes.
+  // The tandem loses its group to the destination: it drops the sessions on it and turns new ones back.
   callers.dial(0, "220002");
   fixture.run(500);
   CHECK(callers.phone.count("ANSWER") == 2);
@@ -271,7 +275,9 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("SIGTERM's work: nothing new, one answer each for what is held, gone within two seconds") {
+TEST_CASE(
+    "stopping: new calls are not accepted, each session gets one final answer, and all is released within two "
+    "seconds") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   fixture.exchange(1).hang(fixture.now(), true);
@@ -283,7 +289,8 @@
   CHECK(callers.phone.count("ANSWER") == 1);
   fixture.testbed().stopOffice(0);
   fixture.run(100);
-  CHECK(callers.phone.finalResponses() == 1 + 3 + 1);  // the answer, three refusals, the end of the standing one
+  CHECK(callers.phone.finalResponses() ==
+        1 + 3 + 1);  // the answer, three rejections, the end of the established session
   callers.dial(0, "210009");
   fixture.run(1900);
   CHECK(callers.phone.count("REJECT") == 1);
@@ -293,7 +300,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("the bound on sessions: more are refused at once and counted") {
+TEST_CASE("sessions beyond the limit are rejected at once and counted") {
   Fleet fleet = smallFleet(2, 10);
   OfficeOptions options;
   options.maxSessions = 2;
@@ -301,7 +308,7 @@
   TestPhone phone(4);
   const iax2::Address at{1, 1}, from{2, 2};
   std::vector<std::vector<std::uint8_t>> toPhone;
-  // Three callers in one round: no directory, so all are refused in the end, the third because of the bound.
+  // Three callers in one round. Without a directory all are rejected, the third because of the limit.
   for (int i = 0; i < 3; ++i) phone.dial(Instant::ms(1000), at, "21000" + std::to_string(i));
   phone.process(Instant::ms(1000), [&](iax2::Address, std::span<const std::uint8_t> bytes) {
     office.receive(Instant::ms(1000), from, bytes);
@@ -315,7 +322,7 @@
   CHECK(office.sessions() == 0);
 }
 
-TEST_CASE("lists are taken whole or not at all, and never an older one") {
+TEST_CASE("lists are accepted whole or not at all, and older ones are ignored") {
   ExchangeList list{
       5, 2, true, {{0, Readiness::ready, 1, Span::ms(10)}, {1, Readiness::draining, 2, Span::ms(20)}}, {{0, 1, 4}}};
   const std::string text = encode(list);
@@ -325,7 +332,7 @@
   const auto back = decodeList(bytes(text));
   REQUIRE(back);
   CHECK(encode(*back) == text);
-  // A line's end can be cut off without harm; anything more can't.
+  // Only the final line feed may be missing; a list truncated further must not be accepted in part.
   for (std::size_t i = 0; i + 2 < text.size(); ++i) {
     const std::string part = text.substr(0, i);
     const auto read = decodeList(bytes(part));
@@ -350,14 +357,14 @@
   CHECK(office.trunkGroup(1)->size() == 4);
 }
 
-TEST_CASE("a sign of life of an office's former life, late on its way, costs its new life nothing") {
+TEST_CASE("a delayed PONG of an office's former incarnation does not harm sessions with the new one") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
   bool isFormerIncarnation = true;
   fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
     const bool isPong = from == 1 && to == 0 && frame.is(iax2::Iax::PONG);
-    // Doubled, and the second copy four seconds late.
+    // The PONG is duplicated, and the second copy arrives four seconds later.
     return isPong && isFormerIncarnation ? std::vector<Span>{Span::ms(5), Span::ms(4000)}
                                          : std::vector<Span>{Span::ms(5)};
   });
@@ -378,7 +385,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("what an exchange could take is not told of the one in its place, nor of one that is gone") {
+TEST_CASE("an office does not pass on the capacity of a processor that has been replaced or is gone") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -387,7 +394,7 @@
   fixture.impairment = [&](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     iax2::Frame frame;
     const bool read = iax2::decode(bytes, frame) == iax2::DecodeResult::full;
-    // The first office's own list lags, as lists do, so that it goes on sending.
+    // Lists to the first office are lost, so that it goes on sending to the draining exchange.
     if (isListDelayed && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
     if (isListDelayed && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
         frame.is(iax2::Iax::REJECT)) {
@@ -397,7 +404,7 @@
     return std::vector<Span>{Span::ms(5)};
   };
   isListDelayed = true;
-  // Its process is replaced by one that hangs from the start: it gives signs of life, and says nothing of its room.
+  // The processor is replaced by one that hangs from the start: it answers POKEs but reports no capacity.
   fixture.startExchange(1, false).hang(fixture.now(), true);
   fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
   fixture.run(350);
@@ -407,7 +414,7 @@
   CHECK(withCapacity == 0);
 }
 
-TEST_CASE("a directory in another's place whose clock is behind is believed once that one has been silent") {
+TEST_CASE("a replacement directory whose clock is behind is accepted once the former one has been silent long enough") {
   Fleet fleet = smallFleet(2, 10);
   fleet.directory = {9, 9};
   Office office(fleet, OfficeOptions(), Instant::ms(1000));
@@ -418,19 +425,19 @@
                    std::span(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()));
   };
   receiveList(1000, 50, 7, Readiness::ready);
-  receiveList(2000, 40, 1, Readiness::draining);  // may be late: the other was heard a second ago
+  receiveList(2000, 40, 1, Readiness::draining);  // may be a delayed list: the newer directory sent one a second ago
   CHECK(office.listedReadiness(1) == Readiness::ready);
   receiveList(9000, 50, 8, Readiness::ready);
   receiveList(18000, 40, 18, Readiness::draining);
   CHECK(office.listedReadiness(1) == Readiness::ready);
   receiveList(19001, 40, 19, Readiness::draining);
   CHECK(office.listedReadiness(1) == Readiness::draining);
-  receiveList(19500, 40, 18, Readiness::ready);  // its own order holds
+  receiveList(19500, 40, 18, Readiness::ready);  // versions of the same directory stay in order
   CHECK(office.listedReadiness(1) == Readiness::draining);
   CHECK(office.counters().staleLists == 3);
 }
 
-TEST_CASE("an exchange that rings three hundred times is passed on once, and its answer is heard") {
+TEST_CASE("of 300 RINGING frames one is passed on to the caller, and so is the ANSWER after them") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   TestPhone ringingPhone(3);
@@ -446,7 +453,7 @@
     ringingPhone.endpoint().send(fixture.now(), *ringingPhone.incomingCalls[0], iax2::Control::ringing);
     if (i % 50 == 49) {
       fixture.testbed().wakeUp(day::processorIdentity(1));
-      fixture.run(15);  // acknowledged before the next fifty
+      fixture.run(15);  // all are acknowledged before the next 50
     }
   }
   ringingPhone.endpoint().send(fixture.now(), *ringingPhone.incomingCalls[0], iax2::Control::answer);
@@ -458,11 +465,12 @@
   fixture.run(10);
 }
 
-TEST_CASE("signs of life that waited in a frozen office say nothing of what was opened since") {
+TEST_CASE("PONGs that wait in a paused office do not reset calls that were opened since") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
-  // The other office answers, dies and is back while this one stands still: both signs of life wait there, and a NEW.
+  // The other office answers, is killed and restarted while this one is paused. When this one resumes, PONGs of both
+  // incarnations and a NEW are waiting.
   bool isPongDelayed = true, isPoked = false;
   fixture.impairBetweenOffices([&](int from, int to, const iax2::Frame& frame) {
     isPoked = isPoked || (from == 0 && to == 1 && frame.is(iax2::Iax::POKE));
@@ -490,7 +498,7 @@
   CHECK(fixture.findings().kept());
 }
 
-TEST_CASE("late copies of a peer's last sign of life neither keep it alive nor bring it back") {
+TEST_CASE("delayed copies of a peer's last PONG neither hide its silence nor end it") {
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
@@ -511,7 +519,7 @@
         .at("silent")
         .as_bool();
   };
-  // Six seconds after the last POKE that was answered, and at most one POKE more.
+  // The peer counts as silent 6 s after the last POKE that was answered, checked at the next POKE.
   fixture.run(7200);
   CHECK(isPeerSilent());
   CHECK(fixture.statusField(0, "cut") == 1);
