--- a/src/capture/capture.cpp
+++ b/src/capture/capture.cpp
@@ -82,6 +82,7 @@
 }
 
 void Writer::write(const Packet& packet) {
+  // NOLINTNEXTLINE(bugprone-incorrect-roundings): lround() differs just below a half; captures must stay the same
   const auto microseconds = static_cast<std::uint64_t>((packet.at - Instant()).ms() * 1000 + 0.5);
   const auto size = static_cast<std::uint32_t>(packet.payload.size() + 28);
   Block block;
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -301,7 +301,7 @@
       here = zoneOf_[static_cast<std::size_t>(options_.place)];
       there != here) {
     // The highest bits of a session number identify the office where the session was dialled.
-    const bool dialledThere = *e.session >> 52 == static_cast<std::uint64_t>(peer.place + 1);
+    const bool dialledThere = *e.session >> 52 == static_cast<std::uint64_t>(peer.place) + 1;
     const zones::LegKind legKind = !dialledThere                           ? zones::LegKind::second
                                    : *e.destinationPlace == options_.place ? zones::LegKind::direct
                                                                            : zones::LegKind::first;
