--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -255,6 +255,7 @@
   peer == peersByAddress_.end() ? handleCallerNew(call, frame) : handlePeerNew(*peer->second, call, frame);
 }
 
+/// Creates a session for a NEW from a caller.
 void Office::handleCallerNew(iax2::Call& call, const iax2::Frame& frame) {
   const iax2::Elements& e = frame.elements;
   const int service = e.calledContext.empty() ? 0 : fleet_.service(e.calledContext);
@@ -283,6 +284,7 @@
   queueEvent(ModuleEvent(ModuleEvent::Kind::sessionArrived, &session));
 }
 
+/// Creates a session for a NEW from another office, for the own exchange or in transit.
 void Office::handlePeerNew(Peer& peer, iax2::Call& call, const iax2::Frame& frame) {
   const iax2::Elements& e = frame.elements;
   const int service = fleet_.service(e.calledContext);
@@ -350,8 +352,8 @@
   return session;
 }
 
-// The last step, into the own exchange. There is only one way, and it is used unless the directory has listed the
-// exchange as not ready for new sessions (rule 3) or no call can be opened.
+/// The last step, into the own exchange. There is only one way, and it is used unless the directory has listed the
+/// exchange as not ready for new sessions (rule 3) or no call can be opened.
 void Office::callOwnExchange(HeldSession& session) {
   if (ownExchange_->listedReadiness != Readiness::ready) {
     return rejectIncomingLeg(session, ReleaseReason::processorFull, false, kCapacityReportLifetime, kOutOfOrder,
@@ -470,6 +472,7 @@
   onInviteFailed(*session, InviteOutcome::failed, BlockingReason::none, false, Span::none());
 }
 
+/// The call of a leg has ended: its circuits are free, and the session reacts according to its state.
 void Office::onCallEnded(Leg& leg, iax2::CallEnd how) {
   HeldSession* session = leg.session;
   const bool wasOutgoing = leg.isOutgoing;
@@ -511,6 +514,8 @@
   queueEvent(accepted);
 }
 
+/// The call towards the destination failed, and the session is still undecided: a terminating session is rejected, for
+/// any other the module decides again.
 void Office::onInviteFailed(HeldSession& session, InviteOutcome outcome, BlockingReason reason, bool failedBeyond,
                             Span retryAfter) {
   setDeadline(session, Instant::never());
@@ -574,6 +579,7 @@
   }
 }
 
+/// The caller, or the office that sent the session here, has ended it before an answer.
 void Office::onCallerReleased(HeldSession& session) {
   const bool wasInviting = session.state == HeldSession::State::inviting;
   session.state = HeldSession::State::ended;
@@ -596,6 +602,7 @@
   onInviteFailed(session, InviteOutcome::timedOut, BlockingReason::none, false, Span::none());
 }
 
+/// Ends a session that is not established with its final negative answer.
 void Office::rejectIncomingLeg(HeldSession& session, ReleaseReason reason, bool failedBeyond, Span retryAfter,
                                std::uint8_t causeCode, std::string_view text) {
   session.state = HeldSession::State::ended;
@@ -612,6 +619,7 @@
   if (!std::exchange(session.inReleaseQueue, true)) releaseQueue_.push_back(&session);
 }
 
+/// Rejects an incoming call for which no session is created.
 void Office::rejectCall(iax2::Call& call, ReleaseReason reason, std::uint8_t causeCode, std::string_view text,
                         Span retryAfter) {
   iax2::Elements e = responseElements(nullptr);
@@ -631,6 +639,7 @@
   detachLeg(leg);
 }
 
+/// Separates a leg from its session; a session without legs is queued for release.
 void Office::detachLeg(Leg& leg) {
   if (leg.session == nullptr) return;
   (leg.isOutgoing ? leg.session->outgoingLeg : leg.session->incomingLeg) = nullptr;
@@ -670,6 +679,7 @@
   return *self;
 }
 
+/// Sets when the pending INVITE of a session times out; Instant::never() removes the deadline.
 void Office::setDeadline(HeldSession& session, Instant at) {
   if (session.deadline != Instant::never()) sessionsByDeadline_.erase(&session);
   session.deadline = at;
@@ -745,6 +755,7 @@
   if (std::exchange(peer.isWithheld, false)) markGroupChanged(peer);
 }
 
+/// The budget that bounds legs to `to`; null if they do not cross zones.
 zones::LeasedBudget* Office::budgetTowards(const Peer& to) {
   const int there = zoneOf_[static_cast<std::size_t>(to.place)];
   return there == zoneOf_[static_cast<std::size_t>(options_.place)]
@@ -881,6 +892,7 @@
   refuseSession(const_cast<HeldSession&>(static_cast<const HeldSession&>(moduleSession)), Span::none());
 }
 
+/// Carries out the module's decision to give a session up.
 void Office::refuseSession(HeldSession& session, Span retryAfter) {
   if (session.state == HeldSession::State::ended) return;
   if (session.transit) {
@@ -1021,20 +1033,21 @@
   return e;
 }
 
+/// Sends the POKEs that are due and gives up peers that have been silent for too long.
 void Office::pokeDuePeers() {
   nextPokeAt_ = Instant::never();
   for (const auto& peer : peers_) {
     if (!peer->own && peer->trunk.size() == 0) continue;
-    const Span every = peer->own ? options_.exchangePokeInterval : options_.peerPokeInterval;
-    if (now_ - peer->pokedAt >= every) {
+    const Span interval = peer->own ? options_.exchangePokeInterval : options_.peerPokeInterval;
+    if (now_ - peer->pokedAt >= interval) {
       // Silence is measured from the first POKE that could have been answered: while this office itself was paused, it
       // sent none.
-      if (now_ - peer->pokedAt > every * 3.0) peer->silentSince = now_;
+      if (now_ - peer->pokedAt > interval * 3.0) peer->silentSince = now_;
       peer->pokedAt = now_;
       endpoint_.poke(now_, peer->own ? peer->site.processor : peer->site.office);
       if (!peer->isSilent && now_ - peer->silentSince > options_.peerSilenceLimit) onPeerLost(*peer, false);
     }
-    nextPokeAt_ = std::min(nextPokeAt_, peer->pokedAt + every);
+    nextPokeAt_ = std::min(nextPokeAt_, peer->pokedAt + interval);
   }
 }
 
@@ -1050,9 +1063,9 @@
   // have been delayed on the way or in this office's queue. A PONG to an earlier POKE than one already answered is
   // ignored: it may come from an earlier incarnation, and incarnations alone don't show which was first, since clocks
   // may be set back. A PONG that is older than the silence limit is ignored too.
-  const auto ago = static_cast<std::int32_t>(iax2::pokeStamp(now_) - frame.timestamp);
-  const Instant aliveAt = now_ - Span::ms(ago);
-  if (ago < 0 || now_ - aliveAt > options_.peerSilenceLimit || aliveAt + Span::ms(1) < peer->aliveAt) return;
+  const auto ageMs = static_cast<std::int32_t>(iax2::pokeStamp(now_) - frame.timestamp);
+  const Instant aliveAt = now_ - Span::ms(ageMs);
+  if (ageMs < 0 || now_ - aliveAt > options_.peerSilenceLimit || aliveAt + Span::ms(1) < peer->aliveAt) return;
   if (peer->isSilent) notifyObserver(OfficeEvent::Kind::peerRecovered, nullptr, peer, "");
   peer->isSilent = false;
   const std::uint64_t incarnation = *frame.elements.incarnation;
@@ -1073,11 +1086,11 @@
   peer.isSilent = !restarted;
   // The capacity was reported by the earlier incarnation.
   if (&peer == ownExchange_) ownExchange_->processorCapacity = -1;
-  std::vector<Leg*> lost;
+  std::vector<Leg*> lostLegs;
   for (Leg& leg : legs_) {
-    if (leg.peer == &peer) lost.push_back(&leg);
+    if (leg.peer == &peer) lostLegs.push_back(&leg);
   }
-  for (Leg* leg : lost) {
+  for (Leg* leg : lostLegs) {
     // Opened after the last POKE that the earlier incarnation answered, so the leg may belong to the new one. A PING
     // settles it: a peer that does not know the call answers INVAL.
     if (restarted && leg->openedAt > peer.aliveAt) {
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -31,7 +31,7 @@
 
 /// What an office reports to its observer, which writes it to the log. The observer can't influence the office.
 struct OfficeEvent {
-  /// The enumerators up to `dropped` concern one session.
+  /// The enumerators up to `dropped` concern one session. The log has names of its own for them, in this order.
   enum class Kind {
     received,       // a caller's NEW was accepted for routing
     inviteSent,     // an INVITE was sent to another office
--- a/tests/program/histories.cpp
+++ b/tests/program/histories.cpp
@@ -26,8 +26,8 @@
 
 struct Outcome {
   audit::Findings findings;
-  std::string trace;
-  std::string leftovers;  // text; describes what is still held after the final quiet period, empty if nothing is
+  std::string trace;      // the capture file
+  std::string leftovers;  // what is still in use after the final quiet period, empty if nothing is
 };
 
 /// With odd seeds the third office is in a zone of its own, with a budget to it that the other two offices lend each
--- a/tests/program/office.cpp
+++ b/tests/program/office.cpp
@@ -389,21 +389,21 @@
   FleetFixture fixture(smallFleet(2, 10));
   fixture.start();
   CallingPhone callers(fixture);
-  bool isListDelayed = false;
-  int withCapacity = 0, refused = 0;
+  bool areListsLost = false;
+  int refusedWithCapacity = 0, refused = 0;
   fixture.impairment = [&](iax2::Address from, iax2::Address to, std::vector<std::uint8_t>& bytes) {
     iax2::Frame frame;
     const bool read = iax2::decode(bytes, frame) == iax2::DecodeResult::full;
     // Lists to the first office are lost, so that it goes on sending to the draining exchange.
-    if (isListDelayed && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
-    if (isListDelayed && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
+    if (areListsLost && from == day::kDirectory && to == day::officeIdentity(0)) return std::vector<Span>();
+    if (areListsLost && read && from == day::officeIdentity(1) && to == day::officeIdentity(0) &&
         frame.is(iax2::Iax::REJECT)) {
       ++refused;
-      withCapacity += frame.elements.capacityPer1000s.has_value();
+      refusedWithCapacity += frame.elements.capacityPer1000s.has_value();
     }
     return std::vector<Span>{Span::ms(5)};
   };
-  isListDelayed = true;
+  areListsLost = true;
   // The processor is replaced by one that hangs from the start: it answers POKEs but reports no capacity.
   fixture.startExchange(1, false).hang(fixture.now(), true);
   fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).mark());
@@ -411,7 +411,7 @@
   callers.dial(0, "210001");
   fixture.run(100);
   REQUIRE(refused == 1);
-  CHECK(withCapacity == 0);
+  CHECK(refusedWithCapacity == 0);
 }
 
 TEST_CASE("a replacement directory whose clock is behind is accepted once the former one has been silent long enough") {
