--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -41,8 +41,8 @@
 struct Fleet {
   std::vector<OfferedService> offeredServices;
   OfficeConfig config;
-  Span drainGrace =
-      Span::ms(500);  // offices may still send sessions to an exchange for this long after it is listed as draining
+  /// Offices may still send sessions to an exchange for this long after it has been listed as draining.
+  Span drainGrace = Span::ms(500);
   std::vector<ExchangeSite> places;
   std::vector<Group> groups;
   std::vector<zones::Budget> budgets;  // by ordered pair of zones; at most one for each
