--- a/bench/office_bench.cpp
+++ b/bench/office_bench.cpp
@@ -56,12 +56,12 @@
   service.postDialTarget = Span::ms(2000);
   service.timerLimit = Span::ms(9000);
   service.meanHold = Span::ms(1000);
-  fleet.data.services = {service};
-  fleet.data.maxInvites = 6;
-  fleet.data.releaseTime = Span::ms(300);
+  fleet.config.services = {service};
+  fleet.config.maxInvites = 6;
+  fleet.config.releaseTime = Span::ms(300);
   fleet.directory = {9, 9};
   for (int i = 0; i < places; ++i) {
-    Place place;
+    ExchangeSite place;
     place.name = "e" + std::to_string(i);
     place.zone = acrossZones && i > 0 ? "away" : "home";
     place.numbers = std::to_string(1000 + i);
@@ -98,7 +98,7 @@
   void onPong(iax2::Address, const iax2::Frame&) override {}
   iax2::Elements pongElements(iax2::Address) override {
     iax2::Elements elements;
-    elements.started = 1u;
+    elements.incarnation = 1u;
     return elements;
   }
   void onFrame(iax2::Call& call, const iax2::Frame& frame) override {
@@ -127,8 +127,8 @@
   }
   static OfficeOptions officeOptions() {
     OfficeOptions options;
-    options.mostSessions = 100000;
-    options.timing.mostCalls = 200000;
+    options.maxSessions = 100000;
+    options.timing.maxCalls = 200000;
     options.timing.linger = Span::ms(500);
     return options;
   }
@@ -159,7 +159,7 @@
     number = fleet.places[to].numbers + std::to_string(dialledCount++ % 10000);
     elements.calledNumber = number;
     elements.calledContext = "call";
-    elements.timeLeft = 9000u;
+    elements.timeLeftMs = 9000u;
     callers.now = now;
     callers.endpoint.open(now, kOffice, &callers, elements);
   }
@@ -196,7 +196,7 @@
   }
   state.SetItemsProcessed(state.iterations() * kSessionsPerRound);
   state.counters["stood"] =
-      static_cast<double>(bench.office.counters().stood) / static_cast<double>(bench.dialledCount);
+      static_cast<double>(bench.office.counters().established) / static_cast<double>(bench.dialledCount);
 }
 
 void sessionByModule(benchmark::State& state) { runSessions(state, makeController); }
@@ -220,7 +220,7 @@
       bench->exchangeDatagrams(4);
     }
     const std::size_t after = ::mallinfo2().uordblks;
-    const auto standing = static_cast<double>(bench->office.standing());
+    const auto standing = static_cast<double>(bench->office.establishedSessions());
     const auto others =
         static_cast<double>(bench->callers.endpoint.calls() + bench->farEnd.endpoint.calls() - callsBefore);
     state.counters["standing"] = standing;
@@ -235,7 +235,7 @@
   elements.calledNumber = "10010001";
   elements.calledContext = "status-check";
   elements.session = 1u;
-  elements.timeLeft = 9000u;
+  elements.timeLeftMs = 9000u;
   const auto wire = iax2::encode(iax2::FrameHeader(), elements);
   iax2::Frame frame;
   for (auto _ : state) benchmark::DoNotOptimize(iax2::decode(wire, frame));
@@ -246,7 +246,7 @@
   elements.calledNumber = "10010001";
   elements.calledContext = "status-check";
   elements.session = 1u;
-  elements.timeLeft = 9000u;
+  elements.timeLeftMs = 9000u;
   for (auto _ : state) benchmark::DoNotOptimize(iax2::encode(iax2::FrameHeader(), elements));
 }
 
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -97,7 +97,7 @@
   void process(const Packet& packet) {
     if (dayBegin_ == Instant::never()) dayBegin_ = packet.at;
     now_ = packet.at;
-    if (packet.from == capture::kScript) return processScriptNote(packet);
+    if (packet.from == capture::kScriptAddress) return processScriptNote(packet);
     if (!packet.delivered) ++findings_.datagrams;
     if (packet.from == fleet_.directory) {
       if (packet.delivered) processList(packet);
@@ -228,9 +228,9 @@
       attempt.newHash = hash(packet);
       attempt.sent = now_;
       const int service = std::max(0, fleet_.service(frame.elements.calledContext));
-      attempt.timeLimit = Span::ms(frame.elements.timeLeft.value_or(1u << 31));
+      attempt.timeLimit = Span::ms(frame.elements.timeLeftMs.value_or(1u << 31));
       attempt.timeLimit =
-          std::min(attempt.timeLimit, fleet_.data.services[static_cast<std::size_t>(service)].timerLimit);
+          std::min(attempt.timeLimit, fleet_.config.services[static_cast<std::size_t>(service)].timerLimit);
       attempts_[key] = attempt;
       return;
     }
@@ -346,7 +346,7 @@
       invite->delivered = true;
       if (std::exchange(invite->endedByKill, false)) invite->ended = false;
     }
-    if (frame.is(Iax::NEW) && e.session && e.towards && e.width && e.timeLeft) {
+    if (frame.is(Iax::NEW) && e.session && e.destinationPlace && e.width && e.timeLeftMs) {
       if (InterZoneLeg* leg = findInterZoneLeg(from, packet.to, frame.source))
         leg->toIncarnation = incarnations_[static_cast<std::size_t>(to)];
     }
@@ -376,7 +376,7 @@
     }
     if (packet.delivered && (rejectedOrHungUp || frame.is(Iax::INVAL))) {
       endInvite(to, packet.from, frame.destination,
-                frame.is(Iax::INVAL) || frame.elements.why == iax2::ReleaseReason::reset);
+                frame.is(Iax::INVAL) || frame.elements.releaseReason == iax2::ReleaseReason::reset);
     }
     if (packet.delivered && answer) {
       if (Invite* invite = findInvite(to, packet.from, frame.destination)) invite->answerSeq = frame.oseq;
@@ -390,13 +390,13 @@
       if (earlier.to == packet.to && earlier.number == frame.source) return;  // retransmitted
     }
     ++findings_.invites;
-    if (frame.elements.towards && *frame.elements.towards != to) ++findings_.tandemInvites;
+    if (frame.elements.destinationPlace && *frame.elements.destinationPlace != to) ++findings_.tandemInvites;
     for (const Invite& earlier : invites) {
       if (!earlier.ended) {
         addViolation(2, session,
                      "office " + name(from) + " sent an INVITE to " + name(to) + " while another was pending");
       } else if (earlier.mayStillBeHeld && !earlier.established &&
-                 now_ - earlier.endedAt + tolerance_.timestamp < fleet_.data.releaseTime) {
+                 now_ - earlier.endedAt + tolerance_.timestamp < fleet_.config.releaseTime) {
         addViolation(5, session,
                      "office " + name(from) + " sent the session again " +
                          std::to_string(static_cast<long>((now_ - earlier.endedAt).ms())) +
@@ -424,8 +424,9 @@
     invites.push_back(invite);
     sessionOfCall_[{from, packet.to, frame.source}] = session;
     checkListed(from, to, session);
-    if (frame.elements.towards && *frame.elements.towards != to && *frame.elements.towards < fleet_.places.size()) {
-      checkListed(from, *frame.elements.towards, session);
+    if (frame.elements.destinationPlace && *frame.elements.destinationPlace != to &&
+        *frame.elements.destinationPlace < fleet_.places.size()) {
+      checkListed(from, *frame.elements.destinationPlace, session);
     }
   }
 
@@ -445,13 +446,13 @@
   }
 
   std::optional<ZoneLeg> zoneLegOf(const Frame& frame, int from, int to) const {
-    const Place& sender = fleet_.places[static_cast<std::size_t>(from)];
-    const Place& receiver = fleet_.places[static_cast<std::size_t>(to)];
-    if (sender.zone == receiver.zone || !frame.elements.towards) return std::nullopt;
+    const ExchangeSite& sender = fleet_.places[static_cast<std::size_t>(from)];
+    const ExchangeSite& receiver = fleet_.places[static_cast<std::size_t>(to)];
+    if (sender.zone == receiver.zone || !frame.elements.destinationPlace) return std::nullopt;
     // The highest bits of a session's number name the office that owns it: a leg of another office's session is the
     // second leg of a path over a tandem.
     const bool ownSession = *frame.elements.session >> 52 == static_cast<std::uint64_t>(from) + 1;
-    const char* part = !ownSession ? "second" : *frame.elements.towards == to ? "direct" : "first";
+    const char* part = !ownSession ? "second" : *frame.elements.destinationPlace == to ? "direct" : "first";
     return ZoneLeg{sender.zone, receiver.zone, std::string(frame.elements.calledContext), part};
   }
 
@@ -533,20 +534,20 @@
     ColdStart& cold = coldStarts_[static_cast<std::size_t>(place)];
     if (cold.started == Instant::never()) return;
     const Span age = now_ - cold.started;
-    if (age >= fleet_.data.warmUpTime) return;
+    if (age >= fleet_.config.warmUpTime) return;
     if (!cold.seen.emplace(std::pair(packet.from, frame.source), hash(packet)).second) return;
     cold.setUpTimes.push_back(now_);
-    while (now_ - cold.setUpTimes.front() > fleet_.data.overloadWindow) cold.setUpTimes.pop_front();
+    while (now_ - cold.setUpTimes.front() > fleet_.config.overloadWindow) cold.setUpTimes.pop_front();
     const double share =
-        fleet_.data.coldCapacityShare + (1 - fleet_.data.coldCapacityShare) * (age / fleet_.data.warmUpTime);
-    const double capacity =
-        fleet_.places[static_cast<std::size_t>(place)].setUpsASecond * share * fleet_.data.overloadWindow.ms() / 1000;
-    const double load = static_cast<double>(cold.setUpTimes.size()) / (fleet_.data.overloadFactor * capacity);
+        fleet_.config.coldCapacityShare + (1 - fleet_.config.coldCapacityShare) * (age / fleet_.config.warmUpTime);
+    const double capacity = fleet_.places[static_cast<std::size_t>(place)].setUpsPerSecond * share *
+                            fleet_.config.overloadWindow.ms() / 1000;
+    const double load = static_cast<double>(cold.setUpTimes.size()) / (fleet_.config.overloadFactor * capacity);
     findings_.peakColdLoad = std::max(findings_.peakColdLoad, load);
     if (load > 1) {
       addViolation(4, frame.elements.session.value_or(0),
                    "the cold exchange " + name(place) + " received " + std::to_string(cold.setUpTimes.size()) +
-                       " set-ups in " + std::to_string(static_cast<long>(fleet_.data.overloadWindow.ms())) + " ms");
+                       " set-ups in " + std::to_string(static_cast<long>(fleet_.config.overloadWindow.ms())) + " ms");
     }
   }
 
--- a/src/day/bench_day.cpp
+++ b/src/day/bench_day.cpp
@@ -67,13 +67,13 @@
       service.timerLimit = microseconds(source.at("deadline"));
       service.meanHold = microseconds(trunkFields.at("hold").at(i));
       service.repeatable = source.at("effect").as_string() == "safe";
-      plan.fleet.data.services.push_back(service);
+      plan.fleet.config.services.push_back(service);
       plan.serviceWeights.push_back(source.at("share").to_number<double>());
     }
   }
 
   void convertRules(const json::object& trunkFields) {
-    OfficeConfig& data = out_.plan.fleet.data;
+    OfficeConfig& data = out_.plan.fleet.config;
     const json::object& tier = day_.at("tiers").at(0).as_object();
     const json::object& tierKind = tier.at("kinds").at(0).as_object();
     const json::object& allow = day_.at("allow").as_object();
@@ -108,11 +108,11 @@
     const double work = day_.at("classes").at(0).at("work").to_number<double>();
     for (int i = 0; i < count_; ++i) {
       const json::object& server = day_.at("servers").at(static_cast<std::size_t>(i)).as_object();
-      Place place;
+      ExchangeSite place;
       place.name = "x" + std::to_string(i);
       place.zone = std::string(zones.at(server.at("zone").to_number<std::size_t>()).as_string());
       place.numbers = std::to_string(1000 + i);
-      place.setUpsASecond = scale_ * server.at("speed").to_number<double>() * 1e6 / work;
+      place.setUpsPerSecond = scale_ * server.at("speed").to_number<double>() * 1e6 / work;
       fleet.places.push_back(place);
     }
     for (int a = 0; a < count_; ++a) {
@@ -145,7 +145,7 @@
     for (std::size_t i = 0; i < plan.serviceWeights.size(); ++i) {
       weights += plan.serviceWeights[i];
       circuitSeconds += plan.serviceWeights[i] * plan.fleet.offeredServices[i].width *
-                        plan.fleet.data.services[i].meanHold.ms() / 1000;
+                        plan.fleet.config.services[i].meanHold.ms() / 1000;
     }
     const double load = day_.at("traffic").at("load").to_number<double>();
     plan.rate = scale_ * load * erlangs / (circuitSeconds / weights);
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -241,7 +241,7 @@
     const int place = plan_.fleet.place(form.value);
     if (place >= 0) return {place};
     std::vector<std::string_view> known{"all"};
-    for (const Place& candidate : places) known.push_back(candidate.name);
+    for (const ExchangeSite& candidate : places) known.push_back(candidate.name);
     settings::unknownWord(form, form.value, known);
   }
 
@@ -311,10 +311,10 @@
   plan.processor.rejectWork = processorFields.number("turn-away-work", 0, 100);
   plan.processor.maxQueueDelay = Span::ms(processorFields.number("longest-wait", 0, 1e6));
   plan.massCallLines = processorFields.whole("lines", 1, 100000);
-  plan.processor.coldCapacityShare = plan.fleet.data.coldCapacityShare;
-  plan.processor.warmUpTime = plan.fleet.data.warmUpTime;
-  plan.processor.overloadFactor = plan.fleet.data.overloadFactor;
-  plan.processor.overloadWindow = plan.fleet.data.overloadWindow;
+  plan.processor.coldCapacityShare = plan.fleet.config.coldCapacityShare;
+  plan.processor.warmUpTime = plan.fleet.config.warmUpTime;
+  plan.processor.overloadFactor = plan.fleet.config.overloadFactor;
+  plan.processor.overloadWindow = plan.fleet.config.overloadWindow;
   const Form* network = fields.find("network");
   const Fields networkFields(network == nullptr ? empty : *network, 1, kNetwork);
   plan.network.sameZone = Span::ms(networkFields.number("same-zone", 0, 1e4));
@@ -410,7 +410,7 @@
     const auto to = drawIndex(&pairWeights[static_cast<std::size_t>(call.office) * count], count);
     call.number =
         plan.fleet.places[to].numbers + std::to_string(10001 + static_cast<int>(drawUniform() * 9999)).substr(1);
-    const Service& service = plan.fleet.data.services[static_cast<std::size_t>(call.service)];
+    const Service& service = plan.fleet.config.services[static_cast<std::size_t>(call.service)];
     call.hold = service.meanHold * std::min(4.0, -std::log(1 - drawUniform()));
     for (const Fault& fault : plan.faults) {
       if (fault.kind != Fault::Kind::massCall || !isActive(fault, at) || drawUniform() >= fault.magnitude) continue;
--- a/src/day/virtual_testbed.cpp
+++ b/src/day/virtual_testbed.cpp
@@ -95,14 +95,14 @@
   void setBudgets(const std::vector<zones::Budget>& budgets) override {
     fleet_.budgets = budgets;
     for (const auto& [place, office] : offices_) {
-      office->budgets(clock_.now(), budgets);
+      office->updateBudgets(clock_.now(), budgets);
       wakeUp(officeIdentity(place));
     }
   }
   std::optional<std::string> query(int place, std::string_view question) override {
     const auto office = offices_.find(place);
     if (office == offices_.end()) return std::nullopt;
-    return office->second->answer(clock_.now(), question);
+    return office->second->answerQuery(clock_.now(), question);
   }
 
   void schedule(Instant when, std::function<void()> action) override { clock_.callAt(when, std::move(action)); }
--- a/src/simulators/callers.cpp
+++ b/src/simulators/callers.cpp
@@ -15,12 +15,12 @@
       ++callers.serviceCounts_[service()].answers;
       const Span delay = callers.now_ - firstDialledAt;
       callers.delays_.push_back(static_cast<float>(delay.ms()));
-      onTime = delay <= callers.fleet_.data.services[service()].postDialTarget;
+      onTime = delay <= callers.fleet_.config.services[service()].postDialTarget;
       callers.cancelAction(*this);
       callers.scheduleAction(callers.now_ + planned.hold, *this, Action::hangUp);
     } else if (frame.is(iax2::Iax::HANGUP) || frame.is(iax2::Iax::REJECT)) {
       cause = frame.elements.causeCode.value_or(0);
-      retryAfter = Span::ms(frame.elements.wait.value_or(0));
+      retryAfter = Span::ms(frame.elements.retryAfterMs.value_or(0));
     }
   }
   void onCallEnded(iax2::Call&, iax2::CallEnd how) override {
@@ -40,7 +40,7 @@
       planned.hold = planned.hold * 0.5;
       return callers.scheduleAction(firstDialledAt, *this, Action::dial);
     }
-    callers.attemptFailed(*this, how == iax2::CallEnd::hungUp, cause, retryAfter);
+    callers.attemptFailed(*this, how == iax2::CallEnd::remoteHangUp, cause, retryAfter);
   }
   std::size_t service() const { return static_cast<std::size_t>(planned.service); }
 
@@ -126,7 +126,7 @@
   session.firstDialledAt = now_;
   ServiceCounts& counts = serviceCounts_[session.service()];
   ++counts.offered;
-  const double value = fleet_.data.services[session.service()].value;
+  const double value = fleet_.config.services[session.service()].value;
   counts.value += value;
   session.firstSecond = static_cast<std::size_t>(std::max(0.0, (now_ - begin_).ms() / 1000));
   if (seconds_.size() <= session.firstSecond) seconds_.resize(session.firstSecond + 1);
@@ -140,7 +140,7 @@
   ++serviceCounts_[session.service()].attempts;
   session.cause = 0;
   session.retryAfter = Span::none();
-  const Service& service = fleet_.data.services[session.service()];
+  const Service& service = fleet_.config.services[session.service()];
   const Span limit = service.timerLimit * behaviour_.attemptTimeoutShare;
   iax2::Elements e;
   e.version = std::uint16_t{2};
@@ -153,7 +153,7 @@
       std::to_string(session.planned.office) + "-" + std::to_string(static_cast<int>(500 * std::pow(position, 3.3)));
   e.callingNumber = user;
   e.calledContext = fleet_.offeredServices[session.service()].name;
-  e.timeLeft = static_cast<std::uint32_t>(limit.ms());
+  e.timeLeftMs = static_cast<std::uint32_t>(limit.ms());
   if (session.wasAborted) e.wasCut = true;
   const auto office = static_cast<std::size_t>(session.planned.office);
   session.call = endpoint_.open(now_, fleet_.places[office].office, &session, e);
@@ -175,7 +175,7 @@
 
 void SimulatedCallers::finish(CallerSession& session) {
   ServiceCounts& counts = serviceCounts_[session.service()];
-  const Service& service = fleet_.data.services[session.service()];
+  const Service& service = fleet_.config.services[session.service()];
   SecondCounts& second = seconds_[session.firstSecond];
   if (session.established) {
     const double earned = session.onTime ? service.value : service.value * service.lateValue;
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -72,7 +72,7 @@
   const std::vector<float>& delays() const { return delays_; }
   /// Sessions that are planned or not over yet.
   std::size_t activeSessions() const { return sessions_.size() + planned_.size(); }
-  const iax2::Counts& endpointCounts() const { return endpoint_.counts(); }
+  const iax2::EndpointCounters& endpointCounts() const { return endpoint_.counts(); }
 
  private:
   struct CallerSession;
--- a/src/simulators/exchange.cpp
+++ b/src/simulators/exchange.cpp
@@ -98,7 +98,7 @@
     ++counters_.aborted;
     iax2::Elements e;
     e.causeCode = std::uint8_t{38};
-    e.why = iax2::ReleaseReason::reset;
+    e.releaseReason = iax2::ReleaseReason::reset;
     endpoint_.hangUp(now, *session.call, iax2::Iax::HANGUP, e);
   }
 }
@@ -122,7 +122,7 @@
 
 iax2::Elements SimulatedExchange::pongElements(iax2::Address) {
   iax2::Elements e = hung_ ? iax2::Elements() : capacityElements();
-  e.started = incarnation_;
+  e.incarnation = incarnation_;
   return e;
 }
 
@@ -200,9 +200,9 @@
                                Span retryAfter) {
   if (session.call == nullptr) return;
   iax2::Elements e = capacityElements();
-  e.why = reason;
+  e.releaseReason = reason;
   e.causeCode = cause;
-  if (retryAfter > Span::none()) e.wait = static_cast<std::uint32_t>(retryAfter.ms());
+  if (retryAfter > Span::none()) e.retryAfterMs = static_cast<std::uint32_t>(retryAfter.ms());
   endpoint_.hangUp(now_, *session.call, iax2::Iax::REJECT, e);
 }
 
@@ -218,7 +218,7 @@
   for (const auto& [at, ms] : recentWork_) busyMs += now_ - at <= Span::ms(1000) ? ms : 0;
   const double fullCapacity = speed() * 1000 / (model_.setUpWork + 2 * model_.followUpWork);
   iax2::Elements e;
-  e.canTake = static_cast<std::uint32_t>(1000 * fullCapacity * std::clamp(1 - busyMs / 1000, 0.0, 1.0));
+  e.capacityPer1000s = static_cast<std::uint32_t>(1000 * fullCapacity * std::clamp(1 - busyMs / 1000, 0.0, 1.0));
   return e;
 }
 
--- a/tests/program/audit.cpp
+++ b/tests/program/audit.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 audit::Findings playAndAudit(FleetFixture& fixture, const std::function<void(TestPhone&)>& script) {
-  fixture.open();
+  fixture.start();
   TestPhone phone(99);
   fixture.testbed().attach(day::kCallersIdentity, phone);
   fixture.note("begin");
@@ -59,7 +59,7 @@
 TEST_CASE("rule 3: a controller that sends to a drained exchange") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule3");
   const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
-    fixture.learns(1, Readiness::draining, fixture.at(1).incarnation());
+    fixture.setListedReadiness(1, Readiness::draining, fixture.exchange(1).incarnation());
     fixture.run(400);  // within the grace
     dial(fixture, phone, 0, "210001");
     fixture.run(1000);
@@ -73,7 +73,7 @@
 TEST_CASE("rule 4: a controller that overloads a cold exchange") {
   FleetFixture fixture(smallFleet(2, 300), rogueController(), "rule4");
   const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
-    fixture.exchange(1, false);
+    fixture.startExchange(1, false);
     // The exchange sets up 100 sessions a second when warm and 30% of that when cold: at 200 a second it is sent more
     // than three times what it can set up.
     for (int i = 0; i < 170; ++i) {
@@ -83,13 +83,13 @@
   });
   CHECK(findings.violationCounts[4] > 0);
   CHECK(findings.peakColdLoad > 1);
-  CHECK(fixture.at(1).hasCollapsed());
+  CHECK(fixture.exchange(1).hasCollapsed());
 }
 
 TEST_CASE("rule 5: a controller that does not await the release") {
   FleetFixture fixture(smallFleet(2, 10), rogueController(), "rule5");
   const auto findings = playAndAudit(fixture, [&](TestPhone& phone) {
-    fixture.at(1).setHung(fixture.now(), true);  // INVITEs time out after 400 ms and are repeated at once
+    fixture.exchange(1).setHung(fixture.now(), true);  // INVITEs time out after 400 ms and are repeated at once
     dial(fixture, phone, 0, "210001");
   });
   CHECK(findings.violationCounts[5] > 0);
@@ -116,7 +116,7 @@
       CHECK(packet.to.port == 4570);
       CHECK(std::vector<std::uint8_t>(packet.payload.begin(), packet.payload.end()) == payload);
     } else {
-      CHECK(packet.from == capture::kScript);
+      CHECK(packet.from == capture::kScriptAddress);
     }
   });
   CHECK(packets == 2);
--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Helpers: a small fleet on the virtual stage, a telephone that speaks IAX2 by hand, controllers that misbehave.
+// Helpers of the program tests: a small fleet on the virtual testbed, a phone that is controlled frame by frame, and
+// controllers that break the rules.
 
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -21,6 +22,8 @@
 
 namespace thistlefold::test {
 
+/// A fleet in one zone, named "home", with a group of `circuits` circuits between any two of its places. Exchange
+/// number i (from 0) is named "e" and i + 1, and called numbers that begin with 20 + i end there.
 inline Fleet smallFleet(int places, int circuits) {
   Fleet fleet;
   fleet.offeredServices = {{"call", 1}, {"wide", 4}};
@@ -30,41 +33,43 @@
   service.postDialTarget = Span::ms(2000);
   service.timerLimit = Span::ms(9000);
   service.meanHold = Span::ms(3000);
-  fleet.data.services = {service, service};
-  fleet.data.maxInvites = 6;
-  fleet.data.honoursRetryAfter = true;
-  fleet.data.longestRetryAfter = Span::ms(2000);
-  fleet.data.releaseTime = Span::ms(300);
-  fleet.data.coldCapacityShare = 0.3;
-  fleet.data.warmUpTime = Span::ms(8000);
-  fleet.data.overloadFactor = 3;
-  fleet.data.overloadWindow = Span::ms(1500);
+  fleet.config.services = {service, service};
+  fleet.config.maxInvites = 6;
+  fleet.config.honoursRetryAfter = true;
+  fleet.config.longestRetryAfter = Span::ms(2000);
+  fleet.config.releaseTime = Span::ms(300);
+  fleet.config.coldCapacityShare = 0.3;
+  fleet.config.warmUpTime = Span::ms(8000);
+  fleet.config.overloadFactor = 3;
+  fleet.config.overloadWindow = Span::ms(1500);
   for (int i = 0; i < places; ++i) {
-    Place place;
+    ExchangeSite place;
     place.name = "e" + std::to_string(i + 1);
     place.zone = "home";
     place.numbers = std::to_string(20 + i);
-    place.setUpsASecond = 100;
+    place.setUpsPerSecond = 100;
     fleet.places.push_back(place);
     for (int j = 0; j < i; ++j) fleet.groups.push_back({j, i, circuits});
   }
   return fleet;
 }
 
-/// What a test dials and answers with. Remembers all it hears.
+/// Opens and answers calls as a test demands, and counts the frames that it receives. Accepts every incoming call, but
+/// sends no ACCEPT by itself.
 class TestPhone final : public DatagramHandler, private iax2::CallListener, private iax2::CallOwner {
  public:
   explicit TestPhone(std::uint64_t seed) : endpoint_(*this, seed) {}
 
+  /// Opens a call to the office at `to`; `limit` is the time left that the NEW carries.
   iax2::Call* dial(Instant now, iax2::Address to, const std::string& number, Span limit = Span::ms(3000),
                    const std::string& service = "call") {
     iax2::Elements e;
     e.calledNumber = number;
     e.calledContext = service;
-    e.timeLeft = static_cast<std::uint32_t>(limit.ms());
+    e.timeLeftMs = static_cast<std::uint32_t>(limit.ms());
     now_ = now;
     iax2::Call* call = endpoint_.open(now, to, this, e);
-    if (call != nullptr) dialled.push_back(call);
+    if (call != nullptr) outgoingCalls.push_back(call);
     return call;
   }
   void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
@@ -78,49 +83,52 @@
   Instant nextDeadline() const override { return endpoint_.nextDue(); }
   iax2::Endpoint& endpoint() { return endpoint_; }
 
+  /// Frames received of one name, as iax2::name() has it.
   int count(const std::string& name) const {
-    const auto it = heard_.find(name);
-    return it == heard_.end() ? 0 : it->second;
+    const auto it = receivedFrames_.find(name);
+    return it == receivedFrames_.end() ? 0 : it->second;
   }
-  int finals() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
-  std::deque<iax2::Call*> calls;    // that came in
-  std::deque<iax2::Call*> dialled;  // from here, and not over yet
-  std::uint64_t lastSession = 0;
-  std::uint8_t lastCause = 0;
-  iax2::CallEnd lastGone = iax2::CallEnd::finished;
-  int goneCount = 0;
+  /// Frames received that answer or end a call.
+  int finalResponses() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
+  std::deque<iax2::Call*> incomingCalls;  // received and not yet ended
+  std::deque<iax2::Call*> outgoingCalls;  // opened here and not yet ended
+  std::uint64_t lastSession = 0;          // session number of the NEW received last
+  std::uint8_t lastCause = 0;             // cause code received last
+  iax2::CallEnd lastCallEnd = iax2::CallEnd::localHangUp;
+  int endedCalls = 0;
 
  private:
   void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override {
-    ++heard_["NEW"];
+    ++receivedFrames_["NEW"];
     lastSession = frame.elements.session.value_or(0);
     call.setOwner(this);
-    calls.push_back(&call);
+    incomingCalls.push_back(&call);
   }
   void onFrame(iax2::Call&, const iax2::Frame& frame) override {
-    ++heard_[iax2::name(frame)];
+    ++receivedFrames_[iax2::name(frame)];
     if (frame.elements.causeCode) lastCause = *frame.elements.causeCode;
   }
   void onCallEnded(iax2::Call& call, iax2::CallEnd how) override {
-    std::erase(calls, &call);
-    std::erase(dialled, &call);
-    lastGone = how;
-    ++goneCount;
+    std::erase(incomingCalls, &call);
+    std::erase(outgoingCalls, &call);
+    lastCallEnd = how;
+    ++endedCalls;
   }
-  void onPong(iax2::Address, const iax2::Frame&) override { ++heard_["PONG"]; }
+  void onPong(iax2::Address, const iax2::Frame&) override { ++receivedFrames_["PONG"]; }
   iax2::Elements pongElements(iax2::Address) override { return {}; }
 
   iax2::Endpoint endpoint_;
   Instant now_;
-  std::map<std::string, int> heard_;
+  std::map<std::string, int> receivedFrames_;
 };
 
-/// A fleet on the virtual stage with a directory, exchanges, and a capture that is audited at the end.
+/// A fleet on the virtual testbed with a directory, simulated exchanges, and a capture of all datagrams, which
+/// findings() audits. Datagrams take 5 ms unless `impairment` is set.
 class FleetFixture {
  public:
-  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& capture = "town")
+  explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& captureName = "fleet")
       : path_((std::filesystem::temp_directory_path() /
-               ("thistlefold-" + capture + "-" + std::to_string(::getpid()) + ".pcapng"))
+               ("thistlefold-" + captureName + "-" + std::to_string(::getpid()) + ".pcapng"))
                   .string()),
         testbed_(day::virtualTestbed(std::move(fleet), std::move(make))),
         capture_(path_),
@@ -142,13 +150,15 @@
     std::filesystem::remove(path_);
   }
 
-  void open(bool withDirectory = true) {
+  /// Starts the directory, all exchanges (warm) and all offices, and lets 1.5 s pass.
+  void start(bool withDirectory = true) {
     if (withDirectory) testbed_->attach(day::kDirectoryIdentity, directory_);
-    for (std::size_t i = 0; i < exchanges_.size(); ++i) exchange(static_cast<int>(i), true);
+    for (std::size_t i = 0; i < exchanges_.size(); ++i) startExchange(static_cast<int>(i), true);
     for (std::size_t i = 0; i < exchanges_.size(); ++i) testbed_->startOffice(static_cast<int>(i), 7 + i);
     run(1500);
   }
-  SimulatedExchange& exchange(int place, bool warm) {
+  /// Starts an exchange, or replaces a running one by another processor.
+  SimulatedExchange& startExchange(int place, bool warm) {
     auto& at = exchanges_[static_cast<std::size_t>(place)];
     if (at != nullptr) {
       testbed_->detach(day::processorIdentity(place));
@@ -165,27 +175,33 @@
     testbed_->attach(day::processorIdentity(place), *at);
     return *at;
   }
-  SimulatedExchange& at(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
+  /// The exchange that runs at `place` now.
+  SimulatedExchange& exchange(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
   SimulatedDirectory& directory() { return directory_; }
-  void learns(int place, Readiness readiness, std::uint64_t mark) {
-    directory_.setState(testbed_->now(), place, readiness, mark, Span::none());
+  /// Makes the directory report that the processor with that incarnation has this readiness.
+  void setListedReadiness(int place, Readiness readiness, std::uint64_t incarnation) {
+    directory_.setState(testbed_->now(), place, readiness, incarnation, Span::none());
     testbed_->wakeUp(day::kDirectoryIdentity);
   }
   day::Testbed& testbed() { return *testbed_; }
   Instant now() const { return testbed_->now(); }
+  /// Lets `ms` milliseconds of virtual time pass.
   void run(double ms) { testbed_->runUntil(testbed_->now() + Span::ms(ms)); }
+  /// Records an action in the capture, as a day's script does.
   void note(const std::string& text) { capture_.note(testbed_->now(), text); }
+  /// Pauses an office, whose datagrams wait, or lets it run again.
   void freeze(int place, bool frozen) {
     note((frozen ? "freeze " : "thaw ") + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
     testbed_->freezeOffice(place, frozen);
   }
   iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
-  /// What `field` of an office's account says.
-  std::int64_t account(int place, const std::string& field) {
+  /// A number from an office's status report.
+  std::int64_t statusField(int place, const std::string& field) {
     return boost::json::parse(testbed_->query(place, "thistlefold status 1\n").value())
         .at(field)
         .to_number<std::int64_t>();
   }
+  /// Free circuits of the group to `other`, as counted by the office at `place`.
   std::int64_t freeCircuits(int place, int other) {
     return boost::json::parse(testbed_->query(place, "thistlefold status 1\n").value())
         .at("exchanges")
@@ -193,30 +209,32 @@
         .at("free")
         .to_number<std::int64_t>();
   }
+  /// Closes the capture and audits it. To be called once, at the end.
   audit::Findings findings() {
     capture_.close();
     return audit::audit(testbed_->fleet(), path_, testbed_->tolerance());
   }
   const std::string& path() const { return path_; }
 
+  /// Delays of the copies of each datagram; none: it is lost.
   net::Impairment impairment;
-  /// Fate of frames between offices, by place; all else takes five milliseconds.
-  void between(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> what) {
-    impairment = [this, what = std::move(what)](iax2::Address from, iax2::Address to,
-                                                std::vector<std::uint8_t>& bytes) {
+  /// Sets the impairment of frames between offices, by place; all other datagrams take 5 ms.
+  void impairBetweenOffices(std::function<std::vector<Span>(int from, int to, const iax2::Frame& frame)> delays) {
+    impairment = [this, delays = std::move(delays)](iax2::Address from, iax2::Address to,
+                                                    std::vector<std::uint8_t>& bytes) {
       const std::vector<iax2::Address> all = offices();
       const auto a = std::find(all.begin(), all.end(), from), b = std::find(all.begin(), all.end(), to);
       iax2::Frame frame;
       if (a == all.end() || b == all.end() || iax2::decode(bytes, frame) != iax2::DecodeResult::full)
         return std::vector<Span>{Span::ms(5)};
-      return what(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
+      return delays(static_cast<int>(a - all.begin()), static_cast<int>(b - all.begin()), frame);
     };
   }
 
  private:
   std::vector<iax2::Address> offices() const {
     std::vector<iax2::Address> all;
-    for (const Place& place : testbed_->fleet().places) all.push_back(place.office);
+    for (const ExchangeSite& place : testbed_->fleet().places) all.push_back(place.office);
     return all;
   }
   std::string path_;
@@ -226,29 +244,29 @@
   std::vector<std::unique_ptr<SimulatedExchange>> exchanges_;
 };
 
-/// Sends every session direct at once and again whenever it comes back, whatever it was told. With `twice` it sends
-/// two INVITEs, with `silent` it answers nobody.
+/// Sends every session direct at once, and again whenever an INVITE fails, regardless of lists, capacity and release
+/// time. With `sendTwice` it sends two INVITEs at a time; with `neverAnswer` it neither sends nor answers any session.
 class RogueController final : public Controller {
  public:
-  struct Ways {
-    bool twice = false, silent = false;
+  struct Faults {
+    bool sendTwice = false, neverAnswer = false;
   };
-  explicit RogueController(Ways ways) : ways_(ways) {}
+  explicit RogueController(Faults faults) : faults_(faults) {}
 
   void round(Instant now, RoundEvents& events, DecisionSink& sink) override {
     now_ = now;
     sink_ = &sink;
     events.deliver(*this);
-    for (Session* session : std::exchange(inHand_, {})) {
+    for (Session* session : std::exchange(undecided_, {})) {
       if (session->finished) continue;
       if (session->destination == nullptr || now_ >= session->timerLimit) {
         session->finished = true;
-        if (!ways_.silent) sink.rejectBusy(*session, Span::none());
+        if (!faults_.neverAnswer) sink.rejectBusy(*session, Span::none());
         continue;
       }
-      if (ways_.silent) continue;
+      if (faults_.neverAnswer) continue;
       sink.invite(*session, *session->destination, Span::ms(400));
-      if (ways_.twice) sink.invite(*session, *session->destination, Span::ms(400));
+      if (faults_.sendTwice) sink.invite(*session, *session->destination, Span::ms(400));
     }
     sink.scheduleWakeUp(Span::ms(100));
   }
@@ -259,26 +277,27 @@
   void listFailed() override {}
   void circuitsChanged(Exchange&, double, double) override {}
   void capacityReported(Exchange&, double) override {}
-  void sessionArrived(Session& session) override { inHand_.push_back(&session); }
+  void sessionArrived(Session& session) override { undecided_.push_back(&session); }
   void inviteAccepted(Session& session, Span) override { session.established = true; }
-  void inviteEnded(Session& session, Exchange&, InviteOutcome ending, BlockingReason, bool, Span, bool final) override {
-    if (final || ending == InviteOutcome::released) {
+  void inviteEnded(Session& session, Exchange&, InviteOutcome outcome, BlockingReason, bool, Span,
+                   bool final) override {
+    if (final || outcome == InviteOutcome::released) {
       session.finished = true;
     } else {
-      inHand_.push_back(&session);
+      undecided_.push_back(&session);
     }
   }
   void sessionAbandoned(Session& session) override { session.finished = true; }
 
  private:
-  Ways ways_;
+  Faults faults_;
   Instant now_;
   DecisionSink* sink_ = nullptr;
-  std::vector<Session*> inHand_;
+  std::vector<Session*> undecided_;
 };
 
-inline ControllerFactory rogueController(RogueController::Ways ways = {}) {
-  return [ways](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(ways); };
+inline ControllerFactory rogueController(RogueController::Faults faults = {}) {
+  return [faults](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(faults); };
 }
 
 }  // namespace thistlefold::test
