--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -500,9 +500,9 @@
     endpoint_.send(now_, *session.incomingLeg->call, iax2::Control::answer);
     if (session.incomingLeg->replicaKey)
       ++peerUsage_
-            .of(session.incomingLeg->peer->place, session.incomingLeg->peerIncarnation,
-                *session.incomingLeg->replicaKey)
-            .stood;
+            .totalsFor(session.incomingLeg->peer->place, session.incomingLeg->peerIncarnation,
+                       *session.incomingLeg->replicaKey)
+            .established;
   }
   if (session.kind == HeldSession::Kind::terminating) return;
   session.usageCell = session.outgoingLeg->usageCell;
@@ -561,8 +561,9 @@
   if (dropped && session.usageCell != nullptr) session.usageCell->dropped(now_);
   if (dropped && session.incomingLeg != nullptr && session.incomingLeg->replicaKey) {
     ++peerUsage_
-          .of(session.incomingLeg->peer->place, session.incomingLeg->peerIncarnation, *session.incomingLeg->replicaKey)
-          .cut;
+          .totalsFor(session.incomingLeg->peer->place, session.incomingLeg->peerIncarnation,
+                     *session.incomingLeg->replicaKey)
+          .dropped;
   }
   if (dropped && session.kind == HeldSession::Kind::originated) ++counters_.dropped;
   for (Leg* leg : {session.incomingLeg, session.outgoingLeg}) {
