--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -12,7 +12,7 @@
   const settings::Document document = settings::Document::open(path);
   const std::string_view kind = document.forms().front().head();
   if (kind == "fleet") {
-    const Fleet fleet = settings::readFleet(document.only("fleet"));
+    const Fleet fleet = settings::readFleet(document.onlyForm("fleet"));
     std::cout << path << ": a fleet of " << fleet.places.size() << " exchanges, " << fleet.groups.size()
               << " trunk groups, " << fleet.offeredServices.size() << " services\n";
   } else if (kind == "office") {
--- a/src/command/dimension.cpp
+++ b/src/command/dimension.cpp
@@ -28,7 +28,7 @@
 
 Plan open(const Wanted& wanted) {
   Plan plan;
-  plan.fleet = settings::readFleet(settings::Document::open(wanted.fleet).only("fleet"), false);
+  plan.fleet = settings::readFleet(settings::Document::open(wanted.fleet).onlyForm("fleet"), false);
   const settings::Loads loads = settings::openLoads(wanted.loads, plan.fleet);
   dimension::Mesh& mesh = plan.mesh;
   mesh.places = static_cast<int>(plan.fleet.places.size());
--- a/src/command/simulators.cpp
+++ b/src/command/simulators.cpp
@@ -84,7 +84,7 @@
     if (statesPath.empty()) return;
     const settings::Document document = settings::Document::open(statesPath);
     std::vector<std::pair<std::size_t, Readiness>> read;
-    for (const settings::Form& one : document.only("states").items) {
+    for (const settings::Form& one : document.onlyForm("states").items) {
       if (!one.isList()) continue;
       if (one.items.size() != 2) one.fail("(NAME ready|draining|gone) is expected");
       const int place = fleet.place(one.items[0].value);
--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -222,7 +222,7 @@
 std::string withBudget(const std::string& path, const std::string& text, const std::string& from, const std::string& to,
                        int circuits) {
   const settings::Document document = settings::Document::parse(path, text);
-  const settings::Form& fleet = document.only("fleet");
+  const settings::Form& fleet = document.onlyForm("fleet");
   const auto offset = [&](const settings::Form& form) {
     std::size_t at = 0;
     for (int line = 1; line < form.line; ++line) at = text.find('\n', at) + 1;
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -100,7 +100,7 @@
     if (verb == std::end(kVerbs)) {
       std::vector<std::string_view> known;
       for (const Verb& one : kVerbs) known.push_back(one.word);
-      settings::unknownWord(what.items[0], what.head(), known);
+      settings::failUnknownWord(what.items[0], what.head(), known);
     }
     fault.kind = verb->kind;
     fault.words = write(what);
@@ -181,7 +181,7 @@
         fault.places = where(one.items[1]);
         fault.others = where(one.items[2]);
       } else {
-        settings::unknownWord(one, word, {"loss", "twice", "late", "cut-short", "between"});
+        settings::failUnknownWord(one, word, {"loss", "twice", "late", "cut-short", "between"});
       }
     }
   }
@@ -191,7 +191,8 @@
     int* const ends[] = {&fault.from, &fault.to};
     for (std::size_t i = 0; i < 2; ++i) {
       *ends[i] = plan_.fleet.zone(settings::asText(what.items[i + 1]));
-      if (*ends[i] < 0) settings::unknownWord(what.items[i + 1], what.items[i + 1].value, {names.begin(), names.end()});
+      if (*ends[i] < 0)
+        settings::failUnknownWord(what.items[i + 1], what.items[i + 1].value, {names.begin(), names.end()});
     }
     const auto& budgets = plan_.fleet.budgets;
     if (std::none_of(budgets.begin(), budgets.end(),
@@ -236,7 +237,7 @@
     if (place >= 0) return {place};
     std::vector<std::string_view> known{"all"};
     for (const Place& one : places) known.push_back(one.name);
-    settings::unknownWord(form, form.value, known);
+    settings::failUnknownWord(form, form.value, known);
   }
 
   static std::string write(const Form& form) {
@@ -256,11 +257,11 @@
   plan.shape = f.text("shape");
   const std::vector<std::string_view> shapes{"steady", "wave", "ramp"};
   if (std::find(shapes.begin(), shapes.end(), plan.shape) == shapes.end()) {
-    settings::unknownWord(f.find("shape")->items[1], plan.shape, shapes);
+    settings::failUnknownWord(f.find("shape")->items[1], plan.shape, shapes);
   }
   plan.swing = f.number("swing", 0, 1);
   plan.pairSpread = f.number("pair-spread", 0, 5);
-  plan.behaviour.redials = f.whole("redials", 0, 20);
+  plan.behaviour.redials = f.integer("redials", 0, 20);
   plan.behaviour.backoff = Span::ms(f.number("backoff", 1, 1e6));
   plan.behaviour.honour = f.number("honour", 0, 1);
   plan.behaviour.tryShare = f.number("try-share", 0.01, 1);
@@ -271,7 +272,7 @@
     if (service < 0) {
       std::vector<std::string_view> known;
       for (const OfferedService& offer : plan.fleet.offeredServices) known.push_back(offer.name);
-      settings::unknownWord(share->items[1], share->items[1].value, known);
+      settings::failUnknownWord(share->items[1], share->items[1].value, known);
     }
     plan.shares[static_cast<std::size_t>(service)] = settings::asNumber(share->items[2], 0, 1e6);
   }
@@ -288,7 +289,7 @@
   const Form& fleet = *f.find("fleet");
   if (fleet.items.size() == 2 && !fleet.items[1].isList()) {
     const auto path = std::filesystem::path(folder) / fleet.items[1].value;
-    plan.fleet = settings::readFleet(settings::Document::open(path.string()).only("fleet"), false);
+    plan.fleet = settings::readFleet(settings::Document::open(path.string()).onlyForm("fleet"), false);
   } else {
     plan.fleet = settings::readFleet(fleet, false);
   }
@@ -304,7 +305,7 @@
   plan.processor.followWork = p.number("follow-work", 0, 100);
   plan.processor.turnAwayWork = p.number("turn-away-work", 0, 100);
   plan.processor.longestWait = Span::ms(p.number("longest-wait", 0, 1e6));
-  plan.lines = p.whole("lines", 1, 100000);
+  plan.lines = p.integer("lines", 1, 100000);
   plan.processor.coldCapacityShare = plan.fleet.data.coldCapacityShare;
   plan.processor.warmUpTime = plan.fleet.data.warmUpTime;
   plan.processor.overloadFactor = plan.fleet.data.overloadFactor;
@@ -322,7 +323,7 @@
 
 DayPlan openDay(const std::string& path) {
   const settings::Document document = settings::Document::open(path);
-  return readDay(document.only("day"), std::filesystem::path(path).parent_path().string());
+  return readDay(document.onlyForm("day"), std::filesystem::path(path).parent_path().string());
 }
 
 std::string massCalled(const Fleet& fleet, int place) {
@@ -412,10 +413,10 @@
 }
 
 void explainDay(std::ostream& out) {
-  settings::explainWords(out, "day NAME", kDay);
-  settings::explainWords(out, "callers", kCallers);
-  settings::explainWords(out, "processor", kProcessor);
-  settings::explainWords(out, "network", kNetwork);
+  settings::explainKeywords(out, "day NAME", kDay);
+  settings::explainKeywords(out, "callers", kCallers);
+  settings::explainKeywords(out, "processor", kProcessor);
+  settings::explainKeywords(out, "network", kNetwork);
   out << "(at TIME (TROUBLE ...)): TIME in milliseconds or (between FROM TO); WHERE is an exchange's name, all, (any "
          "N)\n"
          "or (zone NAME)\n";
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -117,13 +117,13 @@
     if (fleet.service(offer.name) >= 0) one->fail("service '" + offer.name + "' stands twice");
     const Fields f(*one, 2, kService);
     Service service;
-    offer.width = f.whole("width", 1, 1000);
+    offer.width = f.integer("width", 1, 1000);
     service.value = f.number("value", 0, 1e6);
     service.lateValue = f.number("late-value", 0, 1);
     service.postDialTarget = span(f, "post-dial-target", 1);
     service.timerLimit = span(f, "timer-limit", 1);
     service.meanHold = span(f, "mean-hold", 1);
-    service.repeatable = f.yes("repeatable");
+    service.repeatable = f.boolean("repeatable");
     fleet.offeredServices.push_back(offer);
     fleet.data.services.push_back(service);
   }
@@ -134,16 +134,16 @@
   Form none;
   const Form* given = fields.find("rules");
   const Fields f(given == nullptr ? none : *given, 1, kRules);
-  fleet.data.maxInvites = f.whole("most-invites", 1, 100);
+  fleet.data.maxInvites = f.integer("most-invites", 1, 100);
   fleet.data.releaseTime = span(f, "release");
   fleet.drainGrace = span(f, "drain-grace");
   fleet.data.coldCapacityShare = f.number("cold-from", 0, 1);
   fleet.data.warmUpTime = span(f, "warm-after");
   fleet.data.overloadFactor = f.number("fall-multiple", 0, 1000);
   fleet.data.overloadWindow = span(f, "tip-after");
-  fleet.data.honoursRetryAfter = f.yes("retry-after");
+  fleet.data.honoursRetryAfter = f.boolean("retry-after");
   fleet.data.longestRetryAfter = span(f, "longest-retry-after");
-  fleet.data.mustSubscribe = f.yes("ask");
+  fleet.data.mustSubscribe = f.boolean("ask");
   fleet.data.listStaleAfter = Span::ms(5000);
 }
 
@@ -186,7 +186,7 @@
       if (*ends[i] >= 0) continue;
       std::vector<std::string_view> known;
       for (const Place& place : fleet.places) known.push_back(place.name);
-      unknownWord(one->items[i + 1], one->items[i + 1].value, known);
+      failUnknownWord(one->items[i + 1], one->items[i + 1].value, known);
     }
     if (group.a == group.b) one->fail("two different exchanges are expected");
     if (group.a > group.b) std::swap(group.a, group.b);
@@ -238,7 +238,7 @@
 std::size_t oneOf(const Fields& fields, std::string_view word, const std::vector<std::string_view>& known) {
   const std::string value = fields.text(word);
   const auto it = std::find(known.begin(), known.end(), value);
-  if (it == known.end()) unknownWord(fields.find(word)->items[1], value, known);
+  if (it == known.end()) failUnknownWord(fields.find(word)->items[1], value, known);
   return static_cast<std::size_t>(it - known.begin());
 }
 
@@ -251,7 +251,7 @@
     int* const ends[] = {&budget.from, &budget.to};
     for (std::size_t i = 0; i < 2; ++i) {
       *ends[i] = fleet.zone(asText(one->items[i + 1]));
-      if (*ends[i] < 0) unknownWord(one->items[i + 1], one->items[i + 1].value, zoneWords);
+      if (*ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, zoneWords);
     }
     if (budget.from == budget.to) one->fail("two different zones are expected");
     for (const zones::Budget& other : fleet.budgets) {
@@ -272,12 +272,12 @@
       if (service < 0) {
         std::vector<std::string_view> known;
         for (const OfferedService& offer : fleet.offeredServices) known.push_back(offer.name);
-        unknownWord(form->items[1], form->items[1].value, known);
+        failUnknownWord(form->items[1], form->items[1].value, known);
       }
       const Fields c(*form, 2, kClass);
       zones::ClassShare& share = budget.classes[static_cast<std::size_t>(service)];
-      share.guaranteed = c.whole("guaranteed", 0, 1000000);
-      const int most = c.whole("most", -1, 1000000);
+      share.guaranteed = c.integer("guaranteed", 0, 1000000);
+      const int most = c.integer("most", -1, 1000000);
       if (most >= 0) share.most = most;
       if (most >= 0 && most < share.guaranteed) form->fail("guaranteed is more than most");
       guaranteed += share.guaranteed;
@@ -323,7 +323,7 @@
   return fleet;
 }
 
-Fleet openFleet(const std::string& path) { return readFleet(Document::open(path).only("fleet")); }
+Fleet openFleet(const std::string& path) { return readFleet(Document::open(path).onlyForm("fleet")); }
 
 std::string writeFleet(const Fleet& fleet) {
   std::ostringstream out;
@@ -369,7 +369,7 @@
 
 OfficeFile openOfficeFile(const std::string& path) {
   const Document document = Document::open(path);
-  const Form& form = document.only("office");
+  const Form& form = document.onlyForm("office");
   const std::string name = nameOf(form, "office's exchange");
   const Fields f(form, 2, kOffice);
   OfficeFile file;
@@ -379,7 +379,7 @@
   if (file.setting.place < 0) {
     std::vector<std::string_view> known;
     for (const Place& place : file.fleet.places) known.push_back(place.name);
-    unknownWord(form.items[1], name, known);
+    failUnknownWord(form.items[1], name, known);
   }
   file.listen = file.fleet.places[static_cast<std::size_t>(file.setting.place)].office;
   if (const Form* listen = f.find("listen")) {
@@ -387,12 +387,12 @@
     file.listen = asAddress(listen->items[1]);
   }
   file.setting.seed = static_cast<std::uint64_t>(f.number("seed", 0, 9e15));
-  file.setting.mostSessions = static_cast<std::size_t>(f.whole("sessions", 1, 1000000));
+  file.setting.mostSessions = static_cast<std::size_t>(f.integer("sessions", 1, 1000000));
   file.setting.peerPoke = span(f, "poke", 10);
   file.setting.peerSilent = span(f, "silent", 100);
   file.setting.exchangePoke = span(f, "exchange-poke", 10);
   file.setting.timing.firstRepeat = span(f, "first-repeat", 1);
-  file.setting.timing.repeats = f.whole("repeats", 0, 20);
+  file.setting.timing.repeats = f.integer("repeats", 0, 20);
   file.setting.timing.ping = span(f, "ping", 100);
   if (const Form* log = f.find("log")) {
     const Fields l(*log, 1, kLog);
@@ -401,16 +401,16 @@
     file.log.to = l.text("to");
     const std::vector<std::string_view> levels{"debug", "info", "warn", "error"}, formats{"logfmt", "json"};
     if (std::find(levels.begin(), levels.end(), file.log.level) == levels.end()) {
-      unknownWord(l.find("level")->items[1], file.log.level, levels);
+      failUnknownWord(l.find("level")->items[1], file.log.level, levels);
     }
     if (std::find(formats.begin(), formats.end(), file.log.format) == formats.end()) {
-      unknownWord(l.find("format")->items[1], file.log.format, formats);
+      failUnknownWord(l.find("format")->items[1], file.log.format, formats);
     }
   }
   return file;
 }
 
-void explainWords(std::ostream& out, std::string_view title, std::span<const Keyword> words) {
+void explainKeywords(std::ostream& out, std::string_view title, std::span<const Keyword> words) {
   out << '(' << title << " ...)\n";
   for (const Keyword& one : words) {
     const std::string given = one.byDefault.empty()  ? "must be given"
@@ -422,15 +422,15 @@
 }
 
 void explain(std::ostream& out) {
-  explainWords(out, "fleet", kFleet);
-  explainWords(out, "service NAME", kService);
-  explainWords(out, "rules", kRules);
-  explainWords(out, "exchange NAME", kExchange);
-  explainWords(out, "budget ZONE ZONE CIRCUITS", kBudget);
-  explainWords(out, "class SERVICE", kClass);
-  explainWords(out, "mesh COUNT", kMesh);
-  explainWords(out, "office NAME", kOffice);
-  explainWords(out, "log", kLog);
+  explainKeywords(out, "fleet", kFleet);
+  explainKeywords(out, "service NAME", kService);
+  explainKeywords(out, "rules", kRules);
+  explainKeywords(out, "exchange NAME", kExchange);
+  explainKeywords(out, "budget ZONE ZONE CIRCUITS", kBudget);
+  explainKeywords(out, "class SERVICE", kClass);
+  explainKeywords(out, "mesh COUNT", kMesh);
+  explainKeywords(out, "office NAME", kOffice);
+  explainKeywords(out, "log", kLog);
 }
 
 }  // namespace thistlefold::settings
--- a/src/settings/files.hpp
+++ b/src/settings/files.hpp
@@ -37,7 +37,7 @@
 /// All words of fleet and office files with defaults and meaning.
 void explain(std::ostream& out);
 /// One vocabulary, as explain() prints it.
-void explainWords(std::ostream& out, std::string_view title, std::span<const Keyword> words);
+void explainKeywords(std::ostream& out, std::string_view title, std::span<const Keyword> words);
 
 iax2::Address asAddress(const Form& form);
 
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -151,14 +151,14 @@
   return document;
 }
 
-const Form& Document::only(std::string_view word) const {
+const Form& Document::onlyForm(std::string_view word) const {
   const Form& first = forms_.front();
   if (first.head() != word) first.fail("(" + std::string(word) + " ...) is expected");
   if (forms_.size() > 1) forms_[1].fail("nothing more is expected after (" + std::string(word) + " ...)");
   return first;
 }
 
-void unknownWord(const Form& form, std::string_view word, const std::vector<std::string_view>& known) {
+void failUnknownWord(const Form& form, std::string_view word, const std::vector<std::string_view>& known) {
   std::string_view nearest;
   std::size_t least = std::numeric_limits<std::size_t>::max();
   for (const std::string_view one : known) {
@@ -200,7 +200,7 @@
     if (!known) {
       std::vector<std::string_view> words;
       for (const Keyword& one : vocabulary) words.push_back(one.word);
-      unknownWord(field.items[0], name, words);
+      failUnknownWord(field.items[0], name, words);
     }
     if (find(name) != nullptr && std::find(many.begin(), many.end(), name) == many.end()) {
       field.fail("'" + std::string(name) + "' stands twice; once is expected");
@@ -246,13 +246,13 @@
   return std::stod(std::string(word(name).byDefault));
 }
 
-int Fields::whole(std::string_view name, int least, int most) const {
+int Fields::integer(std::string_view name, int least, int most) const {
   const double value = number(name, least, most);
   if (value != static_cast<int>(value)) single(name)->fail("a whole number is expected");
   return static_cast<int>(value);
 }
 
-bool Fields::yes(std::string_view name) const {
+bool Fields::boolean(std::string_view name) const {
   const Form* value = single(name);
   const std::string text = value == nullptr ? std::string(word(name).byDefault) : asText(*value);
   if (text != "yes" && text != "no") value->fail("yes or no is expected, not '" + text + "'");
--- a/src/settings/form.hpp
+++ b/src/settings/form.hpp
@@ -43,7 +43,7 @@
   const std::vector<Form>& forms() const { return forms_; }
   const std::string& name() const { return *name_; }
   /// The only form of the file, which must begin with `word`.
-  const Form& only(std::string_view word) const;
+  const Form& onlyForm(std::string_view word) const;
 
  private:
   Document() = default;
@@ -70,8 +70,8 @@
 
   bool has(std::string_view word) const { return find(word) != nullptr; }
   double number(std::string_view word, double least, double most) const;
-  int whole(std::string_view word, int least, int most) const;
-  bool yes(std::string_view word) const;
+  int integer(std::string_view word, int least, int most) const;
+  bool boolean(std::string_view word) const;
   std::string text(std::string_view word) const;
   /// The list that begins with `word`, or null.
   const Form* find(std::string_view word) const;
@@ -90,6 +90,6 @@
 double asNumber(const Form& form, double least, double most);
 std::string asText(const Form& form);
 /// Throws at `form` that `word` is unknown, naming the nearest of `known`.
-[[noreturn]] void unknownWord(const Form& form, std::string_view word, const std::vector<std::string_view>& known);
+[[noreturn]] void failUnknownWord(const Form& form, std::string_view word, const std::vector<std::string_view>& known);
 
 }  // namespace thistlefold::settings
--- a/src/settings/loads.cpp
+++ b/src/settings/loads.cpp
@@ -22,7 +22,7 @@
 
 Loads openLoads(const std::string& path, const Fleet& fleet) {
   const Document document = Document::open(path);
-  const Fields fields(document.only("loads"), 1, kLoads, kMany);
+  const Fields fields(document.onlyForm("loads"), 1, kLoads, kMany);
   Loads loads;
   const std::size_t places = fleet.places.size(), services = fleet.offeredServices.size();
   loads.erlangs.assign(places * places * services, 0.0);
@@ -33,14 +33,14 @@
     int ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
       ends[i] = fleet.place(asText(one->items[i + 1]));
-      if (ends[i] < 0) unknownWord(one->items[i + 1], one->items[i + 1].value, names(fleet.places));
+      if (ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, names(fleet.places));
     }
     if (ends[0] == ends[1]) one->fail("two different exchanges are expected");
     for (std::size_t i = 3; i < one->items.size(); ++i) {
       const Form& what = one->items[i];
       if (!what.isList() || what.items.size() != 2) what.fail("(SERVICE ERLANGS) is expected");
       const int service = fleet.service(asText(what.items[0]));
-      if (service < 0) unknownWord(what.items[0], what.items[0].value, names(fleet.offeredServices));
+      if (service < 0) failUnknownWord(what.items[0], what.items[0].value, names(fleet.offeredServices));
       double& load =
           loads.erlangs[(static_cast<std::size_t>(ends[0]) * places + static_cast<std::size_t>(ends[1])) * services +
                         static_cast<std::size_t>(service)];
@@ -53,7 +53,7 @@
     std::size_t ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
       const int zone = fleet.zone(asText(one->items[i + 1]));
-      if (zone < 0) unknownWord(one->items[i + 1], one->items[i + 1].value, {zones.begin(), zones.end()});
+      if (zone < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, {zones.begin(), zones.end()});
       ends[i] = static_cast<std::size_t>(zone);
     }
     loads.prices[ends[0]][ends[1]] = loads.prices[ends[1]][ends[0]] = asNumber(one->items[3], 0.001, 1e9);
