--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -17,7 +17,7 @@
               << " trunk groups, " << fleet.offeredServices.size() << " services\n";
   } else if (kind == "office") {
     const settings::OfficeFile office = settings::openOfficeFile(path);
-    std::cout << path << ": the office of " << office.fleet.places[static_cast<std::size_t>(office.setting.place)].name
+    std::cout << path << ": the office of " << office.fleet.places[static_cast<std::size_t>(office.options.place)].name
               << ", listening at " << text(office.listen) << '\n';
   } else if (kind == "day") {
     const day::DayPlan plan = day::openDay(path);
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -20,16 +20,17 @@
 // On SIGTERM all that is held is ended at once; the far ends confirm within this or are left to find out.
 constexpr Span kStopWithin = Span::ms(2000);
 
-std::shared_ptr<spdlog::logger> openLog(const settings::LogSetting& setting) {
+std::shared_ptr<spdlog::logger> openLog(const settings::LogSettings& logSettings) {
   std::shared_ptr<spdlog::logger> log;
-  if (setting.to == "-") {
+  if (logSettings.to == "-") {
     log = std::make_shared<spdlog::logger>("office", std::make_shared<spdlog::sinks::stderr_sink_st>());
   } else {
-    log = std::make_shared<spdlog::logger>("office", std::make_shared<spdlog::sinks::basic_file_sink_st>(setting.to));
+    log =
+        std::make_shared<spdlog::logger>("office", std::make_shared<spdlog::sinks::basic_file_sink_st>(logSettings.to));
   }
-  log->set_pattern(setting.format == "json" ? R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})"
-                                            : "time=%Y-%m-%dT%H:%M:%S.%e%z level=%l %v");
-  log->set_level(spdlog::level::from_str(setting.level));
+  log->set_pattern(logSettings.format == "json" ? R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})"
+                                                : "time=%Y-%m-%dT%H:%M:%S.%e%z level=%l %v");
+  log->set_level(spdlog::level::from_str(logSettings.level));
   log->flush_on(spdlog::level::warn);
   return log;
 }
@@ -106,10 +107,10 @@
 
 int serve(const std::string& path) {
   const settings::OfficeFile file = settings::openOfficeFile(path);
-  const std::string& name = file.fleet.places[static_cast<std::size_t>(file.setting.place)].name;
+  const std::string& name = file.fleet.places[static_cast<std::size_t>(file.options.place)].name;
   Lines lines(openLog(file.log), name, file.log.format == "json");
   Host host(file.listen);
-  Office office(file.fleet, file.setting, host.clock().now(), makeController, std::ref(lines));
+  Office office(file.fleet, file.options, host.clock().now(), makeController, std::ref(lines));
   // Budgets alone are read anew; for all else an office is started anew.
   const auto rereadBudgets = [&]() -> std::string {
     try {
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -12,84 +12,87 @@
 namespace thistlefold::settings {
 namespace {
 
-struct Spot {
+struct Position {
   int line, column;
 };
 
-[[noreturn]] void wrongAt(const std::string& name, Spot at, const std::string& what) {
-  throw SettingsError(name + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what);
+[[noreturn]] void failAt(const std::string& name, Position position, const std::string& message) {
+  throw SettingsError(name + ":" + std::to_string(position.line) + ":" + std::to_string(position.column) + ": " +
+                      message);
 }
 
-// The library parses but does not say where; this notes where each list and atom begins, in the order in which the
-// tree is walked, blanks out comments, and finds what is not balanced.
-std::string locate(const std::string& name, const std::string& text, std::vector<Spot>& spots) {
+// The sfsexp library reports no positions. This scanner therefore records the start of each list and atom, in the order
+// in which convert() walks the parsed tree. It returns the text with comments replaced by blanks, and throws
+// SettingsError for unbalanced parentheses and quotes and for characters that are not allowed.
+std::string scanPositions(const std::string& name, const std::string& text, std::vector<Position>& positions) {
   std::string clean = text;
-  std::vector<Spot> open;
-  Spot at{1, 0};
-  enum class In { blank, word, quoted, comment } in = In::blank;
-  Spot quote{};
+  std::vector<Position> unclosed;
+  Position at{1, 0};
+  enum class State { blank, word, quoted, comment } state = State::blank;
+  Position openingQuote{};
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     ++at.column;
-    const Spot here = at;
+    const Position here = at;
     if (c == '\n') at = {at.line + 1, 0};
-    if (in == In::comment) {
-      if (c == '\n') in = In::blank;
+    if (state == State::comment) {
+      if (c == '\n') state = State::blank;
       if (c != '\n') clean[i] = ' ';
       continue;
     }
-    if (in == In::quoted) {
+    if (state == State::quoted) {
       if (c == '\\') {
         ++i;
         ++at.column;
       } else if (c == '"') {
-        in = In::blank;
+        state = State::blank;
       }
       continue;
     }
-    const bool space = c == ' ' || c == '\t' || c == '\n' || c == '\r';
+    const bool isSpace = c == ' ' || c == '\t' || c == '\n' || c == '\r';
     if (c == ';') {
-      in = In::comment;
+      state = State::comment;
       clean[i] = ' ';
     } else if (c == '(') {
-      spots.push_back(here);
-      open.push_back(here);
-      in = In::blank;
+      positions.push_back(here);
+      unclosed.push_back(here);
+      state = State::blank;
     } else if (c == ')') {
-      if (open.empty()) wrongAt(name, here, "a ')' without its '('");
-      open.pop_back();
-      in = In::blank;
+      if (unclosed.empty()) failAt(name, here, "a ')' without its '('");
+      unclosed.pop_back();
+      state = State::blank;
     } else if (c == '"') {
-      spots.push_back(here);
-      quote = here;
-      in = In::quoted;
-    } else if (space) {
-      in = In::blank;
+      positions.push_back(here);
+      openingQuote = here;
+      state = State::quoted;
+    } else if (isSpace) {
+      state = State::blank;
     } else {
       const auto byte = static_cast<unsigned char>(c);
-      if (byte < 32 || byte == '\'' || byte == '`') wrongAt(name, here, "a character that has no meaning here");
-      if (in != In::word) spots.push_back(here);
-      in = In::word;
+      if (byte < 32 || byte == '\'' || byte == '`') failAt(name, here, "this character is not allowed here");
+      if (state != State::word) positions.push_back(here);
+      state = State::word;
     }
   }
-  if (in == In::quoted) wrongAt(name, quote, "a text whose closing '\"' is missing");
-  if (!open.empty()) wrongAt(name, open.back(), "a list whose ')' is missing");
+  if (state == State::quoted) failAt(name, openingQuote, "a text whose closing '\"' is missing");
+  if (!unclosed.empty()) failAt(name, unclosed.back(), "a list whose ')' is missing");
   return clean;
 }
 
-void convert(const sexp_t* from, Form& into, const std::vector<Spot>& spots, std::size_t& next,
+// Appends `from` and its successors to the items of `into`. `next` is the index of the next position to be assigned.
+void convert(const sexp_t* from, Form& into, const std::vector<Position>& positions, std::size_t& next,
              const std::string* file) {
   for (const sexp_t* one = from; one != nullptr; one = one->next) {
     Form form;
     form.file = file;
-    if (next < spots.size()) {
-      form.line = spots[next].line;
-      form.column = spots[next].column;
+    if (next < positions.size()) {
+      form.line = positions[next].line;
+      form.column = positions[next].column;
     }
     ++next;
     if (one->ty == SEXP_LIST) {
       form.kind = Form::Kind::list;
-      convert(one->list, form, spots, next, file);
+      convert(one->list, form, positions, next, file);
     } else {
       form.kind = one->aty == SEXP_DQUOTE ? Form::Kind::text : Form::Kind::word;
       form.value = one->val == nullptr ? "" : one->val;
@@ -98,7 +101,8 @@
   }
 }
 
-std::size_t distance(std::string_view a, std::string_view b) {
+// Levenshtein distance: the number of characters to insert, delete or replace that turns one word into the other.
+std::size_t editDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= a.size(); ++i) {
@@ -112,7 +116,7 @@
   return row[b.size()];
 }
 
-std::string plain(double value) {
+std::string format(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
@@ -125,7 +129,7 @@
                                                                    : std::string_view();
 }
 
-void Form::fail(const std::string& what) const { wrongAt(*file, {line, column}, what); }
+void Form::fail(const std::string& message) const { failAt(*file, {line, column}, message); }
 
 Document Document::open(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
@@ -137,17 +141,17 @@
 Document Document::parse(std::string name, const std::string& text) {
   Document document;
   document.name_ = std::make_unique<std::string>(std::move(name));
-  std::vector<Spot> spots;
-  std::string clean = "(" + locate(*document.name_, text, spots) + "\n)";
-  if (spots.empty()) throw SettingsError(*document.name_ + ": nothing in it");
+  std::vector<Position> positions;
+  std::string clean = "(" + scanPositions(*document.name_, text, positions) + "\n)";
+  if (positions.empty()) throw SettingsError(*document.name_ + ": the file holds no expression");
   sexp_t* tree = parse_sexp(clean.data(), clean.size());
   if (tree == nullptr) throw SettingsError(*document.name_ + ": not an S-expression");
-  Form all;
+  Form root;
   std::size_t next = 0;
-  convert(tree->list, all, spots, next, document.name_.get());
+  convert(tree->list, root, positions, next, document.name_.get());
   destroy_sexp(tree);
-  if (next != spots.size()) throw SettingsError(*document.name_ + ": not an S-expression");
-  document.forms_ = std::move(all.items);
+  if (next != positions.size()) throw SettingsError(*document.name_ + ": not an S-expression");
+  document.forms_ = std::move(root.items);
   return document;
 }
 
@@ -160,11 +164,11 @@
 
 void failUnknownWord(const Form& form, std::string_view word, const std::vector<std::string_view>& known) {
   std::string_view nearest;
-  std::size_t least = std::numeric_limits<std::size_t>::max();
+  std::size_t smallest = std::numeric_limits<std::size_t>::max();
   for (const std::string_view one : known) {
-    const std::size_t apart = distance(word, one);
-    if (apart < least) {
-      least = apart;
+    const std::size_t current = editDistance(word, one);
+    if (current < smallest) {
+      smallest = current;
       nearest = one;
     }
   }
@@ -177,7 +181,7 @@
   const char* const end = form.value.data() + form.value.size();
   const auto [at, error] = std::from_chars(form.value.data(), end, value);
   if (form.kind != Form::Kind::word || error != std::errc() || at != end || !(value >= least && value <= most)) {
-    form.fail("a number from " + plain(least) + " to " + plain(most) + " is expected" +
+    form.fail("a number from " + format(least) + " to " + format(most) + " is expected" +
               (form.isList() ? "" : ", not '" + form.value + "'"));
   }
   return value;
@@ -189,7 +193,7 @@
 }
 
 Fields::Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
-               std::span<const std::string_view> many)
+               std::span<const std::string_view> repeatable)
     : list_(&list), vocabulary_(vocabulary) {
   for (std::size_t i = from; i < list.items.size(); ++i) {
     const Form& field = list.items[i];
@@ -202,14 +206,14 @@
       for (const Keyword& one : vocabulary) words.push_back(one.word);
       failUnknownWord(field.items[0], name, words);
     }
-    if (find(name) != nullptr && std::find(many.begin(), many.end(), name) == many.end()) {
-      field.fail("'" + std::string(name) + "' stands twice; once is expected");
+    if (find(name) != nullptr && std::find(repeatable.begin(), repeatable.end(), name) == repeatable.end()) {
+      field.fail("'" + std::string(name) + "' is given twice; once is expected");
     }
     fields_.push_back(&field);
   }
   for (const Keyword& one : vocabulary) {
-    if (one.byDefault.empty() && find(one.word) == nullptr &&
-        std::find(many.begin(), many.end(), one.word) == many.end()) {
+    if (one.defaultValue.empty() && find(one.word) == nullptr &&
+        std::find(repeatable.begin(), repeatable.end(), one.word) == repeatable.end()) {
       list.fail("(" + std::string(one.word) + " ...) is missing: " + std::string(one.expects) + " is expected");
     }
   }
@@ -227,41 +231,41 @@
   return found;
 }
 
-const Keyword& Fields::word(std::string_view word) const {
+const Keyword& Fields::keyword(std::string_view word) const {
   return *std::find_if(vocabulary_.begin(), vocabulary_.end(), [&](const Keyword& one) { return one.word == word; });
 }
 
-const Form* Fields::single(std::string_view name) const {
+const Form* Fields::singleValue(std::string_view name) const {
   const Form* field = find(name);
   if (field == nullptr) return nullptr;
   if (field->items.size() != 2) {
-    field->fail("(" + std::string(name) + " ...) takes one value: " + std::string(word(name).expects));
+    field->fail("(" + std::string(name) + " ...) takes one value: " + std::string(keyword(name).expects));
   }
   return &field->items[1];
 }
 
 double Fields::number(std::string_view name, double least, double most) const {
-  const Form* value = single(name);
+  const Form* value = singleValue(name);
   if (value != nullptr) return asNumber(*value, least, most);
-  return std::stod(std::string(word(name).byDefault));
+  return std::stod(std::string(keyword(name).defaultValue));
 }
 
 int Fields::integer(std::string_view name, int least, int most) const {
   const double value = number(name, least, most);
-  if (value != static_cast<int>(value)) single(name)->fail("a whole number is expected");
+  if (value != static_cast<int>(value)) singleValue(name)->fail("a whole number is expected");
   return static_cast<int>(value);
 }
 
 bool Fields::boolean(std::string_view name) const {
-  const Form* value = single(name);
-  const std::string text = value == nullptr ? std::string(word(name).byDefault) : asText(*value);
+  const Form* value = singleValue(name);
+  const std::string text = value == nullptr ? std::string(keyword(name).defaultValue) : asText(*value);
   if (text != "yes" && text != "no") value->fail("yes or no is expected, not '" + text + "'");
   return text == "yes";
 }
 
 std::string Fields::text(std::string_view name) const {
-  const Form* value = single(name);
-  return value == nullptr ? std::string(word(name).byDefault) : asText(*value);
+  const Form* value = singleValue(name);
+  return value == nullptr ? std::string(keyword(name).defaultValue) : asText(*value);
 }
 
 }  // namespace thistlefold::settings
--- a/src/settings/loads.cpp
+++ b/src/settings/loads.cpp
@@ -6,23 +6,24 @@
 namespace {
 
 constexpr Keyword kLoads[] = {
-    {"load", "(load FROM TO (SERVICE ERLANGS) ...)", "", "what is offered from one exchange to another; several"},
-    {"price", "(price ZONE ZONE PRICE)", "", "of a circuit between two zones, either way; 1 where not said; several"},
+    {"load", "(load FROM TO (SERVICE ERLANGS) ...)", "", "traffic offered from one exchange to another; repeatable"},
+    {"price", "(price ZONE ZONE PRICE)", "",
+     "price of a circuit between two zones, in both directions; 1 if absent; repeatable"},
 };
-constexpr std::string_view kMany[] = {"load", "price"};
+constexpr std::string_view kRepeatable[] = {"load", "price"};
 
 template <typename Named>
-std::vector<std::string_view> names(const std::vector<Named>& all) {
-  std::vector<std::string_view> known;
-  for (const Named& one : all) known.push_back(one.name);
-  return known;
+std::vector<std::string_view> namesOf(const std::vector<Named>& all) {
+  std::vector<std::string_view> names;
+  for (const Named& one : all) names.push_back(one.name);
+  return names;
 }
 
 }  // namespace
 
 Loads openLoads(const std::string& path, const Fleet& fleet) {
   const Document document = Document::open(path);
-  const Fields fields(document.onlyForm("loads"), 1, kLoads, kMany);
+  const Fields fields(document.onlyForm("loads"), 1, kLoads, kRepeatable);
   Loads loads;
   const std::size_t places = fleet.places.size(), services = fleet.offeredServices.size();
   loads.erlangs.assign(places * places * services, 0.0);
@@ -33,19 +34,19 @@
     int ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
       ends[i] = fleet.place(asText(one->items[i + 1]));
-      if (ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, names(fleet.places));
+      if (ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, namesOf(fleet.places));
     }
     if (ends[0] == ends[1]) one->fail("two different exchanges are expected");
     for (std::size_t i = 3; i < one->items.size(); ++i) {
-      const Form& what = one->items[i];
-      if (!what.isList() || what.items.size() != 2) what.fail("(SERVICE ERLANGS) is expected");
-      const int service = fleet.service(asText(what.items[0]));
-      if (service < 0) failUnknownWord(what.items[0], what.items[0].value, names(fleet.offeredServices));
+      const Form& offered = one->items[i];
+      if (!offered.isList() || offered.items.size() != 2) offered.fail("(SERVICE ERLANGS) is expected");
+      const int service = fleet.service(asText(offered.items[0]));
+      if (service < 0) failUnknownWord(offered.items[0], offered.items[0].value, namesOf(fleet.offeredServices));
       double& load =
           loads.erlangs[(static_cast<std::size_t>(ends[0]) * places + static_cast<std::size_t>(ends[1])) * services +
                         static_cast<std::size_t>(service)];
-      if (load > 0) what.fail("this load stands twice");
-      load = asNumber(what.items[1], 0, 1e6);
+      if (load > 0) offered.fail("this load is given twice");
+      load = asNumber(offered.items[1], 0, 1e6);
     }
   }
   for (const Form* one : fields.all("price")) {
--- a/src/settings/loads.hpp
+++ b/src/settings/loads.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A file of loads for planning: what is offered from exchange to exchange, and what circuits cost.
+// Reader of loads files, the input of dimensioning: traffic offered between exchanges, and prices of circuits.
 
 #include <string>
 #include <vector>
@@ -9,12 +9,16 @@
 
 namespace thistlefold::settings {
 
+/// Content of a loads file, indexed like the fleet's exchanges, services and zones.
 struct Loads {
-  std::vector<double> erlangs;              // of sessions, [(from * places + to) * services + service]
-  std::vector<std::vector<double>> prices;  // of a circuit, by zone and zone; 1 where nothing is said
+  /// Offered sessions in erlangs, at [(from * places + to) * services + service]; 0 where the file gives none.
+  std::vector<double> erlangs;
+  /// Price of a circuit between two zones, at [zone][zone], symmetric; 1 where the file gives none.
+  std::vector<std::vector<double>> prices;
 };
 
-/// Reads (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE PRICE) ...). Throws SettingsError.
+/// Reads (loads (load FROM TO (SERVICE ERLANGS) ...) ... (price ZONE ZONE PRICE) ...). Throws SettingsError, also for
+/// names that `fleet` doesn't have.
 Loads openLoads(const std::string& path, const Fleet& fleet);
 
 }  // namespace thistlefold::settings
--- a/tests/program/settings.cpp
+++ b/tests/program/settings.cpp
@@ -1,4 +1,5 @@
-// What a wrong file is answered with: one line that names file, line, column and what was expected.
+// Settings files: what is read and written, and the error for a faulty file, which is one line that gives file, line,
+// column and what was expected.
 
 #include <doctest/doctest.h>
 
@@ -10,7 +11,8 @@
 
 namespace {
 
-std::string faultOf(const std::string& text) {
+/// The message of the SettingsError that reading `text` as file "f" throws; empty if it is read without one.
+std::string errorOf(const std::string& text) {
   try {
     const Document document = Document::parse("f", text);
     const Form& form = document.forms().front();
@@ -19,20 +21,21 @@
     } else {
       readFleet(form);
     }
-  } catch (const SettingsError& wrong) {
-    return wrong.what();
+  } catch (const SettingsError& error) {
+    return error.what();
   }
   return "";
 }
 
-const std::string kGood =
+const std::string kValidFleet =
     "(fleet (service call)\n"
     "  (exchange a (numbers \"20\") (office 127.0.0.1:1) (processor 127.0.0.1:2))\n"
     "  (exchange b (numbers \"21\") (office 127.0.0.1:3) (processor 127.0.0.1:4))\n"
     "  (group a b 10) (directory 127.0.0.1:5))";
 
-std::string with(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+/// kValidFleet with the first occurrence of `from` replaced by `to`.
+std::string fleetWith(const std::string& from, const std::string& to) {
+  std::string text = kValidFleet;
   const auto at = text.find(from);
   REQUIRE(at != std::string::npos);
   return text.replace(at, from.size(), to);
@@ -40,8 +43,8 @@
 
 }  // namespace
 
-TEST_CASE("a fleet is read, written and read again as the same") {
-  const Document document = Document::parse("f", kGood);
+TEST_CASE("a fleet that is written and read back is the same") {
+  const Document document = Document::parse("f", kValidFleet);
   const Fleet fleet = readFleet(document.forms().front());
   CHECK(fleet.places.size() == 2);
   CHECK(fleet.circuits(1, 0) == 10);
@@ -49,63 +52,67 @@
   CHECK(fleet.destination("99") == -1);
   CHECK(fleet.data.releaseTime == Span::ms(300));
   const std::string text = writeFleet(fleet);
-  const Document again = Document::parse("g", text);
-  CHECK(writeFleet(readFleet(again.forms().front())) == text);
+  const Document reread = Document::parse("g", text);
+  CHECK(writeFleet(readFleet(reread.forms().front())) == text);
 }
 
-TEST_CASE("faults name line, column and what was expected") {
-  CHECK(faultOf(kGood) == "");
-  CHECK(faultOf(with("(group a b 10)", "(group a b ten)")) ==
+TEST_CASE("error messages give line, column and what was expected") {
+  CHECK(errorOf(kValidFleet) == "");
+  CHECK(errorOf(fleetWith("(group a b 10)", "(group a b ten)")) ==
         "f:4:14: a number from 0 to 100000 is expected, not 'ten'");
-  CHECK(faultOf(with("(numbers \"21\")", "(nubmers \"21\")")) ==
+  CHECK(errorOf(fleetWith("(numbers \"21\")", "(nubmers \"21\")")) ==
         "f:3:16: unknown word 'nubmers'; the nearest known is 'numbers'");
-  CHECK(faultOf(with("group a b", "group a bb")) == "f:4:12: unknown word 'bb'; the nearest known is 'b'");
-  CHECK(faultOf(with("(numbers \"21\")", "(numbers \"20\")")).find("belong to exchange 'a'") != std::string::npos);
-  CHECK(faultOf(with("127.0.0.1:4", "127.0.0.1")).find(": an ADDRESS:PORT such as") != std::string::npos);
-  CHECK(faultOf(with("(directory 127.0.0.1:5)", "")).find("(directory ADDRESS:PORT) is missing") != std::string::npos);
-  CHECK(faultOf("(fleet (service call)") == "f:1:1: a list whose ')' is missing");
-  CHECK(faultOf("(fleet))") == "f:1:8: a ')' without its '('");
-  CHECK(faultOf("(fleet \"a") == "f:1:8: a text whose closing '\"' is missing");
-  CHECK(faultOf("; nothing\n") == "f: nothing in it");
-  CHECK(faultOf("(flet)") == "f:1:1: (fleet ...) is expected");
-  CHECK(faultOf(with("(service call)", "(service call (width 1) (width 2))")).find("stands twice") !=
+  CHECK(errorOf(fleetWith("group a b", "group a bb")) == "f:4:12: unknown word 'bb'; the nearest known is 'b'");
+  CHECK(errorOf(fleetWith("(numbers \"21\")", "(numbers \"20\")")).find("belong to exchange 'a'") != std::string::npos);
+  CHECK(errorOf(fleetWith("127.0.0.1:4", "127.0.0.1")).find(": an ADDRESS:PORT such as") != std::string::npos);
+  CHECK(errorOf(fleetWith("(directory 127.0.0.1:5)", "")).find("(directory ADDRESS:PORT) is missing") !=
         std::string::npos);
-  CHECK(faultOf(with("(service call)", "(service call (width 1.5))")) == "f:1:29: a whole number is expected");
+  CHECK(errorOf("(fleet (service call)") == "f:1:1: a list whose ')' is missing");
+  CHECK(errorOf("(fleet))") == "f:1:8: a ')' without its '('");
+  CHECK(errorOf("(fleet \"a") == "f:1:8: a text whose closing '\"' is missing");
+  CHECK(errorOf("; nothing\n") == "f: the file holds no expression");
+  CHECK(errorOf("(flet)") == "f:1:1: (fleet ...) is expected");
+  CHECK(errorOf(fleetWith("(service call)", "(service call (width 1) (width 2))")).find("is given twice") !=
+        std::string::npos);
+  CHECK(errorOf(fleetWith("(service call)", "(service call (width 1.5))")) == "f:1:29: a whole number is expected");
 }
 
-TEST_CASE("budgets are read, written and checked") {
-  const std::string zoned = with("(exchange b ", "(exchange b (zone away) ");
-  const auto budget = [&](const std::string& text) { return zoned.substr(0, zoned.size() - 1) + text + ")"; };
-  const Document document = Document::parse("f", budget("(budget home away 12 (class call (guaranteed 4) (most 8)))"));
+TEST_CASE("budgets are read, written and validated") {
+  const std::string twoZones = fleetWith("(exchange b ", "(exchange b (zone away) ");
+  const auto fleetWithBudget = [&](const std::string& text) {
+    return twoZones.substr(0, twoZones.size() - 1) + text + ")";
+  };
+  const Document document =
+      Document::parse("f", fleetWithBudget("(budget home away 12 (class call (guaranteed 4) (most 8)))"));
   const Fleet fleet = readFleet(document.forms().front());
   REQUIRE(fleet.budgets.size() == 1);
   CHECK(fleet.budgets[0].circuits == 12);
   CHECK(fleet.budgets[0].classes[0].most == 8);
-  const Document again = Document::parse("g", writeFleet(fleet));
-  CHECK(writeFleet(readFleet(again.forms().front())) == writeFleet(fleet));
-  CHECK(faultOf(budget("(budget home awya 12)")).find("unknown word 'awya'; the nearest known is 'away'") !=
+  const Document reread = Document::parse("g", writeFleet(fleet));
+  CHECK(writeFleet(readFleet(reread.forms().front())) == writeFleet(fleet));
+  CHECK(errorOf(fleetWithBudget("(budget home awya 12)")).find("unknown word 'awya'; the nearest known is 'away'") !=
         std::string::npos);
-  CHECK(faultOf(budget("(budget home home 12)")).find("two different zones") != std::string::npos);
-  CHECK(faultOf(budget("(budget home away 3 (class call (guaranteed 4)))")).find("more than the budget") !=
+  CHECK(errorOf(fleetWithBudget("(budget home home 12)")).find("two different zones") != std::string::npos);
+  CHECK(errorOf(fleetWithBudget("(budget home away 3 (class call (guaranteed 4)))")).find("more than the budget") !=
         std::string::npos);
-  CHECK(faultOf(budget("(budget home away 9 (class call (guaranteed 4) (most 2)))")).find("more than most") !=
+  CHECK(errorOf(fleetWithBudget("(budget home away 9 (class call (guaranteed 4) (most 2)))")).find("more than most") !=
         std::string::npos);
 }
 
-TEST_CASE("a day's troubles are checked like all else") {
+TEST_CASE("the scripted faults of a day are validated") {
   const std::string fleet = "(fleet (service call) (mesh 3))";
-  CHECK(faultOf("(day d " + fleet + " (at 5 (hang e1 100)))") == "");
+  CHECK(errorOf("(day d " + fleet + " (at 5 (hang e1 100)))") == "");
   CHECK(
-      faultOf("(day d " + fleet + " (at 5 (hnag e1 100)))").find("unknown word 'hnag'; the nearest known is 'hang'") !=
+      errorOf("(day d " + fleet + " (at 5 (hnag e1 100)))").find("unknown word 'hnag'; the nearest known is 'hang'") !=
       std::string::npos);
-  CHECK(faultOf("(day d " + fleet + " (at 5 (hang e9 100)))").find("unknown word 'e9'") != std::string::npos);
-  CHECK(faultOf("(day d " + fleet + " (at 5 (hang e1)))").find("(hang WHERE LASTS) is expected") != std::string::npos);
-  CHECK(faultOf("(day d " + fleet + " (at 5 (cut all 2)))").find("a number from 0 to 1 is expected") !=
+  CHECK(errorOf("(day d " + fleet + " (at 5 (hang e9 100)))").find("unknown word 'e9'") != std::string::npos);
+  CHECK(errorOf("(day d " + fleet + " (at 5 (hang e1)))").find("(hang WHERE LASTS) is expected") != std::string::npos);
+  CHECK(errorOf("(day d " + fleet + " (at 5 (cut all 2)))").find("a number from 0 to 1 is expected") !=
         std::string::npos);
-  CHECK(faultOf("(day d " + fleet + " (callers (share cal 2)))").find("nearest known is 'call'") != std::string::npos);
+  CHECK(errorOf("(day d " + fleet + " (callers (share cal 2)))").find("nearest known is 'call'") != std::string::npos);
 }
 
-TEST_CASE("chance in a script comes from its seed alone") {
+TEST_CASE("random choices in a day script depend on its seed alone") {
   const auto plan = [](int seed) {
     const Document document = Document::parse(
         "d", "(day d (seed " + std::to_string(seed) +
@@ -115,9 +122,9 @@
   CHECK(plan(1).faults[0].places == plan(1).faults[0].places);
   CHECK(plan(1).faults[0].at == plan(1).faults[0].at);
   CHECK(plan(1).faults[0].at != plan(2).faults[0].at);
-  const auto a = day::traffic(plan(3)), b = day::traffic(plan(3));
-  REQUIRE(a.size() == b.size());
-  REQUIRE(a.size() > 50);
-  CHECK(a.back().at == b.back().at);
-  CHECK(a.back().number == b.back().number);
+  const auto first = day::traffic(plan(3)), second = day::traffic(plan(3));
+  REQUIRE(first.size() == second.size());
+  REQUIRE(first.size() > 50);
+  CHECK(first.back().at == second.back().at);
+  CHECK(first.back().number == second.back().number);
 }
