--- a/src/command/audit.cpp
+++ b/src/command/audit.cpp
@@ -10,42 +10,44 @@
 namespace thistlefold::command {
 
 void addAudit(CLI::App& app, int& status) {
-  struct Wanted {
+  struct Options {
     std::string capture, fleet, session;
     bool json = false;
   };
-  auto* command = app.add_subcommand("audit", "Judge the five rules from a capture and its fleet file alone");
-  auto wanted = std::make_shared<Wanted>();
-  command->add_option("CAPTURE", wanted->capture, "a capture that `thistlefold day` wrote")->required();
-  command->add_option("FLEET", wanted->fleet, "the fleet file that lies beside it (identities.sexp)")->required();
-  command->add_option("--session", wanted->session,
-                      "print all frames of this session (hex, as the audit names it); `list` names all");
-  command->add_flag("--json", wanted->json, "the findings as JSON");
+  auto* command =
+      app.add_subcommand("audit", "Check the five rules on a capture, using only the capture and its fleet file");
+  auto options = std::make_shared<Options>();
+  command->add_option("CAPTURE", options->capture, "a capture written by `thistlefold day`")->required();
+  command->add_option("FLEET", options->fleet, "the fleet file written with the capture (identities.sexp)")->required();
+  command->add_option(
+      "--session", options->session,
+      "print all frames of this session, given in hex as the audit prints it; `list` lists all sessions");
+  command->add_flag("--json", options->json, "print the findings as JSON");
   command->callback([=, &status] {
     try {
-      const Fleet fleet = settings::openFleet(wanted->fleet);
-      if (wanted->session.empty()) {
-        const audit::Findings findings = audit::audit(fleet, wanted->capture);
-        std::cout << (wanted->json ? audit::json(findings) + "\n" : audit::describe(findings));
+      const Fleet fleet = settings::openFleet(options->fleet);
+      if (options->session.empty()) {
+        const audit::Findings findings = audit::audit(fleet, options->capture);
+        std::cout << (options->json ? audit::json(findings) + "\n" : audit::describe(findings));
         status = findings.kept() ? 0 : 1;
         return;
       }
-      if (wanted->session == "list") {
-        for (const std::uint64_t one : audit::sessions(wanted->capture)) std::cout << std::hex << one << '\n';
+      if (options->session == "list") {
+        for (const std::uint64_t id : audit::sessions(options->capture)) std::cout << std::hex << id << '\n';
         return;
       }
       std::uint64_t session = 0;
-      const char* const end = wanted->session.data() + wanted->session.size();
-      if (const auto read = std::from_chars(wanted->session.data(), end, session, 16);
-          read.ec != std::errc() || read.ptr != end) {
-        std::cerr << "thistlefold audit: --session: hex digits are expected, not '" << wanted->session << "'\n";
+      const char* const end = options->session.data() + options->session.size();
+      if (const auto parsed = std::from_chars(options->session.data(), end, session, 16);
+          parsed.ec != std::errc() || parsed.ptr != end) {
+        std::cerr << "thistlefold audit: --session: hex digits are expected, not '" << options->session << "'\n";
         status = 2;
-      } else if (audit::sessionTrace(fleet, wanted->capture, session, std::cout) == 0) {
-        std::cerr << "thistlefold audit: no frame of session " << wanted->session << " in the capture\n";
+      } else if (audit::sessionTrace(fleet, options->capture, session, std::cout) == 0) {
+        std::cerr << "thistlefold audit: no frame of session " << options->session << " in the capture\n";
         status = 1;
       }
-    } catch (const settings::SettingsError& wrong) {
-      std::cerr << wrong.what() << '\n';
+    } catch (const settings::SettingsError& error) {
+      std::cerr << error.what() << '\n';
       status = 1;
     }
   });
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -8,6 +8,7 @@
 namespace thistlefold::command {
 namespace {
 
+/// Reads the file and prints one line that describes it. Throws SettingsError if the file is faulty.
 void check(const std::string& path) {
   const settings::Document document = settings::Document::open(path);
   const std::string_view kind = document.forms().front().head();
@@ -22,7 +23,7 @@
   } else if (kind == "day") {
     const day::DayPlan plan = day::openDay(path);
     std::cout << path << ": day " << plan.name << " of " << plan.length.ms() / 1000 << " s, "
-              << plan.fleet.places.size() << " exchanges, " << plan.faults.size() << " troubles\n";
+              << plan.fleet.places.size() << " exchanges, " << plan.faults.size() << " scripted faults\n";
   } else {
     document.forms().front().fail("(fleet ...), (office ...) or (day ...) is expected");
   }
@@ -31,11 +32,11 @@
 }  // namespace
 
 void addCheck(CLI::App& app, int& status) {
-  auto* command = app.add_subcommand("check", "Read settings files and say what is wrong with them, if anything");
+  auto* command = app.add_subcommand("check", "Read settings files and report errors in them");
   auto paths = std::make_shared<std::vector<std::string>>();
   auto explain = std::make_shared<bool>(false);
   command->add_option("FILE", *paths, "fleet, office or day files");
-  command->add_flag("--explain", *explain, "print every word that settings may have, its default and its meaning");
+  command->add_flag("--explain", *explain, "print all keywords of settings files, with their defaults and meanings");
   command->callback([=, &status] {
     if (*explain) {
       settings::explain(std::cout);
@@ -47,8 +48,8 @@
     for (const std::string& path : *paths) {
       try {
         check(path);
-      } catch (const settings::SettingsError& wrong) {
-        std::cerr << wrong.what() << '\n';
+      } catch (const settings::SettingsError& error) {
+        std::cerr << error.what() << '\n';
         status = 1;
       }
     }
--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What commands that serve on a socket have in common: one thread, signals, an orderly end.
+// Runs a datagram handler on a UDP socket, for the commands that serve one.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -13,31 +13,37 @@
 
 namespace thistlefold::command {
 
+/// A UDP socket, a real-time clock and the event loop that runs a datagram handler on them, all in the calling thread.
+/// The command adds its signal handlers to the loop through context().
 class Host {
  public:
+  /// Binds the socket; port 0 picks a free port. Throws std::runtime_error if the address can't be bound.
   explicit Host(iax2::Address listen)
       : clock_(net::realClock(context_.get_executor())), port_(net::bindPort(context_.get_executor(), listen)) {}
 
   net::Clock& clock() { return *clock_; }
   net::RealPort& port() { return *port_; }
   boost::asio::io_context& context() { return context_; }
+  /// Runs the handler. Exists only during run().
   net::DatagramRunner& runner() { return *runner_; }
 
-  /// Attends to the station until stop() or the port fails. Throws std::runtime_error if the station did.
+  /// Runs the handler until stop() is called or the socket or the handler fails; then closes the socket and runs the
+  /// event handlers that are still pending. Throws std::runtime_error after a failure. To be called once.
   void run(DatagramHandler& handler) {
-    std::string failed;
-    runner_ =
-        std::make_unique<net::DatagramRunner>(context_.get_executor(), handler, *port_, *clock_, [&](const char* what) {
-          failed = what;
-          context_.stop();
-        });
+    std::string failure;
+    runner_ = std::make_unique<net::DatagramRunner>(context_.get_executor(), handler, *port_, *clock_,
+                                                    [&](const char* message) {
+                                                      failure = message;
+                                                      context_.stop();
+                                                    });
     context_.run();
     port_->close();
     runner_.reset();
     context_.restart();
     context_.poll();
-    if (!failed.empty()) throw std::runtime_error("ended by a fault: " + failed);
+    if (!failure.empty()) throw std::runtime_error("stopped by an error: " + failure);
   }
+  /// Makes run() return.
   void stop() { context_.stop(); }
 
  private:
--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -2,12 +2,11 @@
 
 #include "command/commands.hpp"
 
-// NOLINTNEXTLINE(bugprone-exception-escape): before parsing, only a wrong definition of the commands or lack of memory
-// throws
-int main(int count, char** words) {
+// NOLINTNEXTLINE(bugprone-exception-escape): defining the commands throws only if their definition is wrong
+int main(int argumentCount, char** arguments) {
   CLI::App app{"thistlefold: a call router that sets calls up over trunk groups"};
   app.require_subcommand(1);
-  app.footer("Each command explains itself: thistlefold COMMAND --help. Settings: thistlefold check --explain.");
+  app.footer("Help on a command: thistlefold COMMAND --help. Help on settings files: thistlefold check --explain.");
   int status = 0;
   using namespace thistlefold::command;
   addServe(app, status);
@@ -20,17 +19,17 @@
   addDimension(app, status);
   addSimulators(app, status);
   try {
-    app.parse(count, words);
+    app.parse(argumentCount, arguments);
   } catch (const CLI::ParseError& error) {
     const int code = app.exit(error);
     return code == 0 ? 0 : 2;
-  } catch (const std::exception& failure) {
-    std::cerr << "thistlefold: " << failure.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "thistlefold: " << error.what() << '\n';
     return 2;
   }
-  // What was asked for may have met a full disk, also when it went through a pipe or a redirection.
+  // Fails if the output was redirected to a file on a full disk, for example, or to a pipe that was closed.
   if (!std::cout.flush()) {
-    std::cerr << "thistlefold: standard output: not written whole (no room?)\n";
+    std::cerr << "thistlefold: standard output: could not be written completely (disk full?)\n";
     return 2;
   }
   return status;
--- a/src/command/office_query.cpp
+++ b/src/command/office_query.cpp
@@ -8,26 +8,26 @@
 namespace thistlefold::command {
 namespace {
 
-// Three questions a second apart: one lost datagram, or an office that stands still for a second, is no silence.
-constexpr int kQuestions = 3;
-constexpr int kMillisecondsEach = 1000;
-constexpr int kLook = 5;
+// A lost datagram, or an office that is paused for a second, must not pass for an office that doesn't answer.
+constexpr int kMaxRequests = 3;
+constexpr int kRequestIntervalMs = 1000;
+constexpr int kPollIntervalMs = 5;
 
 }  // namespace
 
-std::optional<std::string> queryOffice(iax2::Address office, std::string_view question) {
+std::optional<std::string> queryOffice(iax2::Address office, std::string_view request) {
   Host host({0x7f000001, 0});
-  std::optional<std::string> account;
-  for (int i = 0; i < kQuestions * kMillisecondsEach / kLook && !account; ++i) {
-    if (i % (kMillisecondsEach / kLook) == 0) {
-      host.port().send(office, {reinterpret_cast<const std::uint8_t*>(question.data()), question.size()});
+  std::optional<std::string> answer;
+  for (int i = 0; i < kMaxRequests * kRequestIntervalMs / kPollIntervalMs && !answer; ++i) {
+    if (i % (kRequestIntervalMs / kPollIntervalMs) == 0) {
+      host.port().send(office, {reinterpret_cast<const std::uint8_t*>(request.data()), request.size()});
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(kLook));
+    std::this_thread::sleep_for(std::chrono::milliseconds(kPollIntervalMs));
     host.port().drain(16, [&](iax2::Address from, std::span<const std::uint8_t> bytes) {
-      if (from == office) account = std::string(bytes.begin(), bytes.end());
+      if (from == office) answer = std::string(bytes.begin(), bytes.end());
     });
   }
-  return account;
+  return answer;
 }
 
 }  // namespace thistlefold::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -17,9 +17,11 @@
 
 namespace asio = boost::asio;
 
-// On SIGTERM all that is held is ended at once; the far ends confirm within this or are left to find out.
-constexpr Span kStopWithin = Span::ms(2000);
+// Longest wait for the far ends to confirm the releases sent on SIGTERM. Ends that haven't confirmed by then have to
+// detect the loss of the office themselves.
+constexpr Span kStopTimeout = Span::ms(2000);
 
+// Creates the office's logger. Throws spdlog::spdlog_ex if the log file can't be opened.
 std::shared_ptr<spdlog::logger> openLog(const settings::LogSettings& logSettings) {
   std::shared_ptr<spdlog::logger> log;
   if (logSettings.to == "-") {
@@ -35,15 +37,15 @@
   return log;
 }
 
-/// Writes what an office tells. Names are checked where they are read, so nothing in a line needs quoting but the
-/// reason.
-class Lines {
+/// Writes log lines for an office's events. Names consist of letters, digits, - and _ (the settings reader checks
+/// that), so the reason is the only field that needs quotes in logfmt.
+class EventLog {
  public:
-  Lines(std::shared_ptr<spdlog::logger> log, std::string office, bool json)
+  EventLog(std::shared_ptr<spdlog::logger> log, std::string office, bool json)
       : log_(std::move(log)), office_(std::move(office)), json_(json) {}
 
-  void say(spdlog::level::level_enum level, std::string_view event, std::uint64_t session, std::string_view exchange,
-           std::string_view reason) {
+  void write(spdlog::level::level_enum level, std::string_view event, std::uint64_t session, std::string_view exchange,
+             std::string_view reason) {
     if (!log_->should_log(level)) return;
     if (json_) {
       log_->log(level, R"("office":"{}","event":"{}","session":"{:x}","exchange":"{}","reason":"{}")", office_, event,
@@ -53,15 +55,15 @@
                 exchange.empty() ? "-" : exchange, reason);
     }
   }
-  void operator()(const OfficeEvent& one) {
+  void operator()(const OfficeEvent& event) {
     using What = OfficeEvent::What;
-    static constexpr std::string_view kEvents[] = {"taken", "invited",   "stood",     "ended", "refused",
-                                                   "cut",   "peer-lost", "peer-back", "listed"};
-    const bool session = one.what <= What::cut;
-    say(session                      ? spdlog::level::debug
-        : one.what == What::peerLost ? spdlog::level::warn
-                                     : spdlog::level::info,
-        kEvents[static_cast<std::size_t>(one.what)], one.session, one.exchange, one.reason);
+    static constexpr std::string_view kEventNames[] = {"taken", "invited",   "stood",     "ended", "refused",
+                                                       "cut",   "peer-lost", "peer-back", "listed"};
+    const bool ofSession = event.what <= What::cut;
+    write(ofSession                      ? spdlog::level::debug
+          : event.what == What::peerLost ? spdlog::level::warn
+                                         : spdlog::level::info,
+          kEventNames[static_cast<std::size_t>(event.what)], event.session, event.exchange, event.reason);
   }
   spdlog::logger& log() { return *log_; }
 
@@ -71,28 +73,33 @@
   bool json_;
 };
 
-/// The office, and beside it the answers to questions of `thistlefold status` and `zones`, which come to the same port.
-class Counter final : public DatagramHandler {
+/// Datagram handler of the office's port: answers the queries of `thistlefold status` and `thistlefold zones`, and
+/// passes all other datagrams on to the office.
+class QueryHandler final : public DatagramHandler {
  public:
-  Counter(Office& office, std::function<std::string()> reread) : office_(office), reread_(std::move(reread)) {}
+  /// `rereadBudgets` reads the fleet file's budgets and returns the answer to the request for it. `office` must outlive
+  /// this handler.
+  QueryHandler(Office& office, std::function<std::string()> rereadBudgets)
+      : office_(office), rereadBudgets_(std::move(rereadBudgets)) {}
   void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override {
     const std::string_view text(reinterpret_cast<const char*>(datagram.data()), datagram.size());
-    // Only to this host: an account is longer than the question, and nobody else's business. What offices and the
-    // directory tell each other is no question.
-    const bool question = text.starts_with("thistlefold status ") || text.starts_with("thistlefold zones ") ||
-                          text.starts_with("thistlefold series ") || text == kReread;
-    if (question && from.ip >> 24 == 127) {
-      if (askers_.size() < 16) askers_.emplace_back(from, text);
+    // Queries are answered to this host only: the answers are not public, and being longer than the queries they could
+    // be used for amplification. Messages between offices and from the directory also begin with "thistlefold" but are
+    // not queries.
+    const bool isQuery = text.starts_with("thistlefold status ") || text.starts_with("thistlefold zones ") ||
+                         text.starts_with("thistlefold series ") || text == kReread;
+    if (isQuery && from.ip >> 24 == 127) {
+      if (queries_.size() < 16) queries_.emplace_back(from, text);
     } else {
       office_.receive(now, from, datagram);
     }
   }
   void process(Instant now, const DatagramSender& out) override {
-    for (const auto& [asker, question] : askers_) {
-      const std::string answer = question == kReread ? reread_() : office_.answer(now, question).value_or("{}");
-      out(asker, {reinterpret_cast<const std::uint8_t*>(answer.data()), answer.size()});
+    for (const auto& [sender, query] : queries_) {
+      const std::string answer = query == kReread ? rereadBudgets_() : office_.answer(now, query).value_or("{}");
+      out(sender, {reinterpret_cast<const std::uint8_t*>(answer.data()), answer.size()});
     }
-    askers_.clear();
+    queries_.clear();
     office_.process(now, out);
   }
   Instant nextDeadline() const override { return office_.nextDeadline(); }
@@ -101,78 +108,81 @@
   static constexpr std::string_view kReread = "thistlefold reread 1\n";
 
   Office& office_;
-  std::function<std::string()> reread_;
-  std::vector<std::pair<iax2::Address, std::string>> askers_;
+  std::function<std::string()> rereadBudgets_;
+  std::vector<std::pair<iax2::Address, std::string>> queries_;
 };
 
+/// Runs the office of this office file until SIGTERM or SIGINT. Returns the exit status. Throws SettingsError for a
+/// faulty file, std::runtime_error if the socket can't be bound or fails.
 int serve(const std::string& path) {
   const settings::OfficeFile file = settings::openOfficeFile(path);
   const std::string& name = file.fleet.places[static_cast<std::size_t>(file.options.place)].name;
-  Lines lines(openLog(file.log), name, file.log.format == "json");
+  EventLog eventLog(openLog(file.log), name, file.log.format == "json");
   Host host(file.listen);
-  Office office(file.fleet, file.options, host.clock().now(), makeController, std::ref(lines));
-  // Budgets alone are read anew; for all else an office is started anew.
+  Office office(file.fleet, file.options, host.clock().now(), makeController, std::ref(eventLog));
+  // Only budgets can be changed in service; all other settings take effect when the office is restarted.
   const auto rereadBudgets = [&]() -> std::string {
     try {
       const Fleet fleet = settings::openFleet(file.fleetPath);
       if (fleet.zones() != file.fleet.zones() || fleet.offeredServices.size() != file.fleet.offeredServices.size()) {
-        throw settings::SettingsError(file.fleetPath + ": other zones or services than this office was started with");
+        throw settings::SettingsError(file.fleetPath +
+                                      ": its zones or services differ from those that this office was started with");
       }
       office.budgets(host.clock().now(), fleet.budgets);
-      lines.say(spdlog::level::info, "budgets", 0, "", std::to_string(fleet.budgets.size()) + " taken");
+      eventLog.write(spdlog::level::info, "budgets", 0, "", std::to_string(fleet.budgets.size()) + " taken");
       return "taken " + std::to_string(fleet.budgets.size()) + "\n";
-    } catch (const settings::SettingsError& wrong) {
-      std::string what = wrong.what();
-      std::replace(what.begin(), what.end(), '"', '\'');
-      lines.say(spdlog::level::err, "budgets", 0, "", what + "; they stay as they were");
-      return what + "; they stay as they were\n";
+    } catch (const settings::SettingsError& error) {
+      std::string message = error.what();
+      std::replace(message.begin(), message.end(), '"', '\'');
+      eventLog.write(spdlog::level::err, "budgets", 0, "", message + "; they stay as they were");
+      return message + "; they stay as they were\n";
     }
   };
-  Counter counter(office, rereadBudgets);
+  QueryHandler handler(office, rereadBudgets);
 
-  asio::signal_set ends(host.context(), SIGTERM, SIGINT), levels(host.context(), SIGUSR1),
-      reread(host.context(), SIGHUP);
+  asio::signal_set terminate(host.context(), SIGTERM, SIGINT), toggleLevel(host.context(), SIGUSR1),
+      hangUp(host.context(), SIGHUP);
   const auto untilStopped = [&]() -> asio::awaitable<void> {
-    const Instant latest = host.clock().now() + kStopWithin;
+    const Instant deadline = host.clock().now() + kStopTimeout;
     const auto timer = host.clock().timer();
-    while (!office.stopped() && host.clock().now() < latest) {
+    while (!office.stopped() && host.clock().now() < deadline) {
       timer->set(host.clock().now() + Span::ms(10));
       co_await timer->asyncWait();
     }
     host.stop();
   };
-  ends.async_wait([&](const boost::system::error_code& error, int) {
+  terminate.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    lines.say(spdlog::level::info, "stopping", 0, "", std::to_string(office.sessions()) + " sessions held");
+    eventLog.write(spdlog::level::info, "stopping", 0, "", std::to_string(office.sessions()) + " sessions in progress");
     office.stop(host.clock().now());
     host.runner().wakeUp();
     asio::co_spawn(host.context(), untilStopped(), asio::detached);
   });
-  std::function<void()> onLevel = [&] {
-    levels.async_wait([&](const boost::system::error_code& error, int) {
+  std::function<void()> waitForToggleLevel = [&] {
+    toggleLevel.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
-      auto& log = lines.log();
+      auto& log = eventLog.log();
       log.set_level(log.level() == spdlog::level::debug ? spdlog::level::info : spdlog::level::debug);
-      lines.say(spdlog::level::info, "log-level", 0, "", log.level() == spdlog::level::debug ? "debug" : "info");
-      onLevel();
+      eventLog.write(spdlog::level::info, "log-level", 0, "", log.level() == spdlog::level::debug ? "debug" : "info");
+      waitForToggleLevel();
     });
   };
-  onLevel();
-  std::function<void()> onHup = [&] {
-    reread.async_wait([&](const boost::system::error_code& error, int) {
+  waitForToggleLevel();
+  std::function<void()> waitForHangUp = [&] {
+    hangUp.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
       rereadBudgets();
       host.runner().wakeUp();
-      onHup();
+      waitForHangUp();
     });
   };
-  onHup();
+  waitForHangUp();
   std::cout << "listening " << text(host.port().address()) << std::endl;
-  lines.say(spdlog::level::info, "started", 0, "",
-            "listening at " + text(host.port().address()) + ", receive buffer " +
-                std::to_string(host.port().counts().receiveBuffer) + " bytes");
-  host.run(counter);
-  lines.say(spdlog::level::info, "stopped", 0, "", std::to_string(office.sessions()) + " sessions left");
+  eventLog.write(spdlog::level::info, "started", 0, "",
+                 "listening at " + text(host.port().address()) + ", receive buffer " +
+                     std::to_string(host.port().counts().receiveBuffer) + " bytes");
+  host.run(handler);
+  eventLog.write(spdlog::level::info, "stopped", 0, "", std::to_string(office.sessions()) + " sessions remaining");
   return office.stopped() ? 0 : 1;
 }
 
@@ -183,15 +193,15 @@
   auto path = std::make_shared<std::string>();
   command->add_option("FILE", *path, "the office file")->required();
   command->footer(
-      "Prints `listening ADDRESS:PORT` when it takes calls. SIGTERM: takes nothing new, ends all it holds with one\n"
-      "answer each, gone within two seconds; status 0 if all was confirmed. SIGUSR1: log level between info and "
-      "debug.\n"
-      "SIGHUP: the fleet file's budgets between zones are read anew.");
+      "Prints `listening ADDRESS:PORT` once it accepts calls. SIGTERM: accepts no new session, ends each open one\n"
+      "with a single answer and exits within two seconds; the exit status is 0 if all far ends have confirmed.\n"
+      "SIGUSR1: toggles the log level between info and debug. SIGHUP: reads the budgets between zones from the\n"
+      "fleet file again.");
   command->callback([=, &status] {
     try {
       status = serve(*path);
-    } catch (const settings::SettingsError& wrong) {
-      std::cerr << wrong.what() << '\n';
+    } catch (const settings::SettingsError& error) {
+      std::cerr << error.what() << '\n';
       status = 1;
     }
   });
--- a/src/command/simulators.cpp
+++ b/src/command/simulators.cpp
@@ -16,39 +16,42 @@
 
 namespace asio = boost::asio;
 
-/// Runs until a signal, or for so long where `seconds` is above zero.
-void run(Host& host, DatagramHandler& station, double seconds) {
-  asio::signal_set ends(host.context(), SIGTERM, SIGINT);
-  ends.async_wait([&](const boost::system::error_code& error, int) {
+/// Prints the address and runs the handler until SIGTERM or SIGINT, or for at most `seconds` if that is above zero.
+void run(Host& host, DatagramHandler& handler, double seconds) {
+  asio::signal_set terminate(host.context(), SIGTERM, SIGINT);
+  terminate.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) host.stop();
   });
-  asio::steady_timer end(host.context());
+  asio::steady_timer timer(host.context());
   if (seconds > 0) {
-    end.expires_after(std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000)));
-    end.async_wait([&](const boost::system::error_code& error) {
+    timer.expires_after(std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000)));
+    timer.async_wait([&](const boost::system::error_code& error) {
       if (!error) host.stop();
     });
   }
   std::cout << "listening " << text(host.port().address()) << std::endl;
-  host.run(station);
+  host.run(handler);
 }
 
+/// Index of the exchange. Throws SettingsError if the fleet has none of this name.
 int placeOf(const Fleet& fleet, const std::string& name) {
   const int place = fleet.place(name);
-  if (place < 0) throw settings::SettingsError("no exchange '" + name + "' in this fleet");
+  if (place < 0) throw settings::SettingsError("no exchange '" + name + "' in the fleet");
   return place;
 }
 
+/// Sets `status` to what `body` returns, or prints the SettingsError that it throws and sets `status` to 1.
 template <typename Body>
 void guarded(int& status, Body body) {
   try {
     status = body();
-  } catch (const settings::SettingsError& wrong) {
-    std::cerr << wrong.what() << '\n';
+  } catch (const settings::SettingsError& error) {
+    std::cerr << error.what() << '\n';
     status = 1;
   }
 }
 
+/// Simulates one exchange of the fleet and prints its counters at the end.
 int exchange(const std::string& fleetPath, const std::string& name, bool cold, double seconds) {
   const Fleet fleet = settings::openFleet(fleetPath);
   const Place& place = fleet.places[static_cast<std::size_t>(placeOf(fleet, name))];
@@ -61,71 +64,77 @@
   model.overloadFactor = fleet.data.overloadFactor;
   model.overloadWindow = fleet.data.overloadWindow;
   Host host(place.processor);
-  SimulatedExchange station(model, 1, host.clock().now(), !cold);
-  run(host, station, seconds);
-  const auto& counters = station.counters();
+  SimulatedExchange simulator(model, 1, host.clock().now(), !cold);
+  run(host, simulator, seconds);
+  const auto& counters = simulator.counters();
   std::cout << "set-ups " << counters.setUps << ", stood " << counters.stood << ", turned away " << counters.turnedAway
-            << ", dropped " << counters.dropped << (station.fallen() ? ", pushed over" : "") << '\n';
+            << ", dropped " << counters.dropped << (simulator.fallen() ? ", collapsed under overload" : "") << '\n';
   return 0;
 }
 
+/// Simulates the directory: sends lists of the exchanges with the states of the states file, which is read again at
+/// SIGHUP; without a file all exchanges are ready.
 int directory(const std::string& fleetPath, const std::string& statesPath, double seconds) {
   const Fleet fleet = settings::openFleet(fleetPath);
   std::vector<iax2::Address> offices;
   for (const Place& place : fleet.places) offices.push_back(place.office);
   Host host(fleet.directory);
-  SimulatedDirectory station(fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
-                             host.clock().now());
-  // (states (NAME ready|draining|gone) ...), read again at SIGHUP.
-  asio::signal_set again(host.context(), SIGHUP);
-  std::vector<std::uint64_t> marks(fleet.places.size(), 1);
+  SimulatedDirectory simulator(fleet.data.mustSubscribe ? std::vector<iax2::Address>() : offices, fleet.places.size(),
+                               host.clock().now());
+  asio::signal_set hangUp(host.context(), SIGHUP);
+  std::vector<std::uint64_t> incarnations(fleet.places.size(), 1);
   std::vector<Readiness> states(fleet.places.size(), Readiness::ready);
-  const auto load = [&] {
+  // Reads (states (NAME ready|draining|gone) ...). Nothing changes if the file is faulty. An exchange that becomes
+  // ready again counts as restarted, so it gets a new incarnation.
+  const auto loadStates = [&] {
     if (statesPath.empty()) return;
     const settings::Document document = settings::Document::open(statesPath);
-    std::vector<std::pair<std::size_t, Readiness>> read;
-    for (const settings::Form& one : document.onlyForm("states").items) {
-      if (!one.isList()) continue;
-      if (one.items.size() != 2) one.fail("(NAME ready|draining|gone) is expected");
-      const int place = fleet.place(one.items[0].value);
-      if (place < 0) one.items[0].fail("no exchange '" + one.items[0].value + "' in the fleet");
-      const std::string& state = one.items[1].value;
+    std::vector<std::pair<std::size_t, Readiness>> parsed;
+    for (const settings::Form& entry : document.onlyForm("states").items) {
+      if (!entry.isList()) continue;
+      if (entry.items.size() != 2) entry.fail("(NAME ready|draining|gone) is expected");
+      const int place = fleet.place(entry.items[0].value);
+      if (place < 0) entry.items[0].fail("no exchange '" + entry.items[0].value + "' in the fleet");
+      const std::string& state = entry.items[1].value;
       if (state != "ready" && state != "draining" && state != "gone") {
-        one.items[1].fail("ready, draining or gone is expected, not '" + state + "'");
+        entry.items[1].fail("ready, draining or gone is expected, not '" + state + "'");
       }
-      read.emplace_back(static_cast<std::size_t>(place), state == "ready"      ? Readiness::ready
-                                                         : state == "draining" ? Readiness::draining
-                                                                               : Readiness::gone);
+      parsed.emplace_back(static_cast<std::size_t>(place), state == "ready"      ? Readiness::ready
+                                                           : state == "draining" ? Readiness::draining
+                                                                                 : Readiness::gone);
     }
-    for (const auto& [place, state] : read) {
-      if (states[place] != Readiness::ready && state == Readiness::ready) ++marks[place];
+    for (const auto& [place, state] : parsed) {
+      if (states[place] != Readiness::ready && state == Readiness::ready) ++incarnations[place];
       states[place] = state;
-      station.learns(host.clock().now(), static_cast<int>(place), state, marks[place], Span::none());
+      simulator.learns(host.clock().now(), static_cast<int>(place), state, incarnations[place], Span::none());
     }
   };
-  load();
-  std::function<void()> onHup = [&] {
-    again.async_wait([&](const boost::system::error_code& error, int) {
+  loadStates();
+  std::function<void()> waitForHangUp = [&] {
+    hangUp.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
       try {
-        load();
+        loadStates();
         host.runner().wakeUp();
-      } catch (const settings::SettingsError& wrong) {
-        std::cerr << wrong.what() << "; the states stay as they were\n";
+      } catch (const settings::SettingsError& settingsError) {
+        std::cerr << settingsError.what() << "; the states stay as they are\n";
       }
-      onHup();
+      waitForHangUp();
     });
   };
-  onHup();
-  run(host, station, seconds);
+  waitForHangUp();
+  run(host, simulator, seconds);
   return 0;
 }
 
+/// Dials the running fleet at `rate` sessions a second for `seconds`, or one office of it if `office` is not empty, and
+/// prints the outcome as text or JSON. `hold` is the mean duration of sessions in milliseconds; 0 for that of each
+/// service. Returns 0 if no session failed and all have ended.
 int load(const std::string& fleetPath, const std::string& office, double rate, double seconds, double hold,
          std::uint64_t seed, bool json) {
   day::DayPlan plan;
   plan.fleet = settings::openFleet(fleetPath);
-  const int only = office.empty() ? -1 : placeOf(plan.fleet, office);
+  const int onlyOffice = office.empty() ? -1 : placeOf(plan.fleet, office);
   plan.seed = seed;
   plan.rate = rate;
   plan.length = Span::ms(seconds * 1000);
@@ -138,58 +147,60 @@
   CallerBehaviour behaviour;
   behaviour.redials = 0;
   SimulatedCallers callers(plan.fleet, behaviour, seed, host.clock().now());
-  std::vector<PlannedCall> dials = day::traffic(plan);
+  std::vector<PlannedCall> calls = day::traffic(plan);
   const Instant begin = host.clock().now() + Span::ms(100);
   callers.begin(begin);
-  for (PlannedCall& dial : dials) {
-    dial.at = begin + (dial.at - Instant());
-    if (only < 0) continue;
-    if (plan.fleet.destination(dial.number) == only)
-      dial.number =
-          plan.fleet.places[static_cast<std::size_t>(dial.office)].numbers + dial.number.substr(dial.number.size() - 4);
-    dial.office = only;
-    if (plan.fleet.destination(dial.number) == only) {
-      dial.number = plan.fleet.places[only == 0 ? 1 : 0].numbers + dial.number.substr(dial.number.size() - 4);
+  for (PlannedCall& call : calls) {
+    call.at = begin + (call.at - Instant());
+    if (onlyOffice < 0) continue;
+    if (plan.fleet.destination(call.number) == onlyOffice)
+      call.number =
+          plan.fleet.places[static_cast<std::size_t>(call.office)].numbers + call.number.substr(call.number.size() - 4);
+    call.office = onlyOffice;
+    if (plan.fleet.destination(call.number) == onlyOffice) {
+      call.number = plan.fleet.places[onlyOffice == 0 ? 1 : 0].numbers + call.number.substr(call.number.size() - 4);
     }
   }
-  callers.plan(std::move(dials));
-  // Ends when the last session has: bounded by the longest hold and all tries.
-  asio::steady_timer poll(host.context());
-  const Instant latest = begin + plan.length + Span::ms(60000) + Span::ms(hold * 5);
-  std::function<void()> untilOver = [&] {
-    poll.expires_after(std::chrono::milliseconds(50));
-    poll.async_wait([&](const boost::system::error_code& error) {
+  callers.plan(std::move(calls));
+  // Stops once the last session has ended, and at the latest when the longest sessions and all their attempts must
+  // have.
+  asio::steady_timer pollTimer(host.context());
+  const Instant deadline = begin + plan.length + Span::ms(60000) + Span::ms(hold * 5);
+  std::function<void()> pollUntilDone = [&] {
+    pollTimer.expires_after(std::chrono::milliseconds(50));
+    pollTimer.async_wait([&](const boost::system::error_code& error) {
       if (error) return;
-      if (callers.active() == 0 || host.clock().now() > latest) return host.stop();
-      untilOver();
+      if (callers.active() == 0 || host.clock().now() > deadline) return host.stop();
+      pollUntilDone();
     });
   };
-  untilOver();
+  pollUntilDone();
   run(host, callers, 0);
-  std::uint64_t offered = 0, stood = 0, late = 0, refused = 0, failed = 0, cut = 0;
-  for (const auto& one : callers.served()) {
-    offered += one.offered;
-    stood += one.stood;
-    late += one.late;
-    refused += one.refused;
-    failed += one.failed;
-    cut += one.cut;
+  std::uint64_t offered = 0, established = 0, late = 0, refused = 0, failed = 0, aborted = 0;
+  for (const auto& service : callers.served()) {
+    offered += service.offered;
+    established += service.stood;
+    late += service.late;
+    refused += service.refused;
+    failed += service.failed;
+    aborted += service.cut;
   }
   std::vector<float> delays = callers.delays();
   std::sort(delays.begin(), delays.end());
-  const auto at = [&](double share) {
+  const auto percentile = [&](double share) {
     return delays.empty()
                ? 0.0
                : static_cast<double>(delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))]);
   };
   if (json) {
-    std::cout << "{\"offered\":" << offered << ",\"stood\":" << stood << ",\"late\":" << late
-              << ",\"refused\":" << refused << ",\"failed\":" << failed << ",\"cut\":" << cut
-              << ",\"p50_ms\":" << at(0.5) << ",\"p99_ms\":" << at(0.99) << ",\"p999_ms\":" << at(0.999) << "}\n";
+    std::cout << "{\"offered\":" << offered << ",\"stood\":" << established << ",\"late\":" << late
+              << ",\"refused\":" << refused << ",\"failed\":" << failed << ",\"cut\":" << aborted
+              << ",\"p50_ms\":" << percentile(0.5) << ",\"p99_ms\":" << percentile(0.99)
+              << ",\"p999_ms\":" << percentile(0.999) << "}\n";
   } else {
-    std::cout << "offered " << offered << ", stood " << stood << ", late " << late << ", refused " << refused
-              << ", failed " << failed << ", cut " << cut << "\npost-dial delay p50 " << at(0.5) << " ms, p99 "
-              << at(0.99) << " ms, p99.9 " << at(0.999) << " ms\n";
+    std::cout << "offered " << offered << ", stood " << established << ", late " << late << ", refused " << refused
+              << ", failed " << failed << ", cut " << aborted << "\npost-dial delay p50 " << percentile(0.5)
+              << " ms, p99 " << percentile(0.99) << " ms, p99.9 " << percentile(0.999) << " ms\n";
   }
   return failed == 0 && callers.active() == 0 ? 0 : 1;
 }
@@ -197,43 +208,51 @@
 }  // namespace
 
 void addSimulators(CLI::App& app, int& status) {
-  struct Wanted {
+  struct Options {
     std::string fleet, name, states;
     double seconds = 0, rate = 10, hold = 0;
     std::uint64_t seed = 1;
     bool cold = false, json = false;
   };
-  auto wanted = std::make_shared<Wanted>();
+  auto options = std::make_shared<Options>();
 
-  auto* one = app.add_subcommand("exchange", "Run a stand-in for an exchange: a processor with one line");
-  one->add_option("FLEET", wanted->fleet, "the fleet file")->required();
-  one->add_option("NAME", wanted->name, "which exchange")->required();
-  one->add_flag("--cold", wanted->cold, "just started: does part of its work until it is warm");
-  one->add_option("--for", wanted->seconds, "stop by itself after so many seconds");
-  one->callback([=, &status] {
-    guarded(status, [&] { return exchange(wanted->fleet, wanted->name, wanted->cold, wanted->seconds); });
+  auto* exchangeCommand = app.add_subcommand("exchange", "Run a simulated exchange: a processor with a single queue");
+  exchangeCommand->add_option("FLEET", options->fleet, "the fleet file")->required();
+  exchangeCommand->add_option("NAME", options->name, "name of the exchange")->required();
+  exchangeCommand->add_flag("--cold", options->cold, "as if just restarted: has part of its capacity until it is warm");
+  exchangeCommand->add_option("--for", options->seconds, "stop after this many seconds");
+  exchangeCommand->callback([=, &status] {
+    guarded(status, [&] { return exchange(options->fleet, options->name, options->cold, options->seconds); });
   });
 
-  auto* list =
-      app.add_subcommand("directory", "Run a stand-in for the directory that tells offices which exchanges run");
-  list->add_option("FLEET", wanted->fleet, "the fleet file")->required();
-  list->add_option("--states", wanted->states, "a file (states (NAME ready|draining|gone) ...), read again at SIGHUP");
-  list->add_option("--for", wanted->seconds, "stop by itself after so many seconds");
-  list->callback(
-      [=, &status] { guarded(status, [&] { return directory(wanted->fleet, wanted->states, wanted->seconds); }); });
+  auto* directoryCommand = app.add_subcommand(
+      "directory", "Run a simulated directory, which notifies offices of the state of all exchanges");
+  directoryCommand->add_option("FLEET", options->fleet, "the fleet file")->required();
+  directoryCommand->add_option("--states", options->states,
+                               "a file (states (NAME ready|draining|gone) ...), read again at SIGHUP");
+  directoryCommand->add_option("--for", options->seconds, "stop after this many seconds");
+  directoryCommand->callback(
+      [=, &status] { guarded(status, [&] { return directory(options->fleet, options->states, options->seconds); }); });
 
-  auto* many = app.add_subcommand("load", "Dial a running fleet as many callers do, and say how it went");
-  many->add_option("FLEET", wanted->fleet, "the fleet file")->required();
-  many->add_option("--office", wanted->name, "dial this office only");
-  many->add_option("--rate", wanted->rate, "sessions a second")->check(CLI::Range(0.1, 20000.0))->capture_default_str();
-  many->add_option("--for", wanted->seconds, "seconds")->check(CLI::Range(0.1, 3600.0))->required();
-  many->add_option("--hold", wanted->hold, "mean hold in milliseconds, in place of the services'")
+  auto* loadCommand = app.add_subcommand("load", "Generate calls to a running fleet and report their outcome");
+  loadCommand->add_option("FLEET", options->fleet, "the fleet file")->required();
+  loadCommand->add_option("--office", options->name, "call this office only");
+  loadCommand->add_option("--rate", options->rate, "sessions per second")
+      ->check(CLI::Range(0.1, 20000.0))
+      ->capture_default_str();
+  loadCommand->add_option("--for", options->seconds, "duration of the load in seconds")
+      ->check(CLI::Range(0.1, 3600.0))
+      ->required();
+  loadCommand
+      ->add_option("--hold", options->hold,
+                   "mean duration of sessions in milliseconds, instead of that of each service")
       ->check(CLI::Range(0.0, 1e6));
-  many->add_option("--seed", wanted->seed, "start of the traffic's chance")->capture_default_str();
-  many->add_flag("--json", wanted->json, "the result as JSON");
-  many->callback([=, &status] {
+  loadCommand->add_option("--seed", options->seed, "seed of the random traffic")->capture_default_str();
+  loadCommand->add_flag("--json", options->json, "print the result as JSON");
+  loadCommand->callback([=, &status] {
     guarded(status, [&] {
-      return load(wanted->fleet, wanted->name, wanted->rate, wanted->seconds, wanted->hold, wanted->seed, wanted->json);
+      return load(options->fleet, options->name, options->rate, options->seconds, options->hold, options->seed,
+                  options->json);
     });
   });
 }
