--- a/src/json.cpp
+++ b/src/json.cpp
@@ -1,2 +1,2 @@
-// Boost.JSON, compiled once here; it is used as headers elsewhere.
+// Compiles the Boost.JSON library once: src.hpp is its source, the headers included elsewhere only declare it.
 #include <boost/json/src.hpp>
