--- a/src/command/main.cpp
+++ b/src/command/main.cpp
@@ -27,7 +27,7 @@
     std::cerr << "thistlefold: " << error.what() << '\n';
     return 2;
   }
-  // Fails if the output was redirected to a file on a full disk, for example, or to a pipe that was closed.
+  // The flush fails if the output could not be written, for example to a file on a full disk.
   if (!std::cout.flush()) {
     std::cerr << "thistlefold: standard output: could not be written completely (disk full?)\n";
     return 2;
--- a/src/settings/files.cpp
+++ b/src/settings/files.cpp
@@ -117,10 +117,10 @@
 }
 
 void readServices(const Fields& fields, Fleet& fleet) {
-  for (const Form* one : fields.all("service")) {
-    OfferedService offered{nameOf(*one, "service"), 1};
-    if (fleet.service(offered.name) >= 0) one->fail("service '" + offered.name + "' is given twice");
-    const Fields f(*one, 2, kService);
+  for (const Form* form : fields.all("service")) {
+    OfferedService offered{nameOf(*form, "service"), 1};
+    if (fleet.service(offered.name) >= 0) form->fail("service '" + offered.name + "' is given twice");
+    const Fields f(*form, 2, kService);
     Service service;
     offered.width = f.integer("width", 1, 1000);
     service.value = f.number("value", 0, 1e6);
@@ -136,7 +136,7 @@
 }
 
 void readRules(const Fields& fields, Fleet& fleet) {
-  Form empty;
+  Form empty;  // without (rules ...) all fields have their default values
   const Form* given = fields.find("rules");
   const Fields f(given == nullptr ? empty : *given, 1, kRules);
   fleet.data.maxInvites = f.integer("most-invites", 1, 100);
@@ -153,11 +153,11 @@
 }
 
 void readExchanges(const Fields& fields, Fleet& fleet, bool requireAddresses) {
-  for (const Form* one : fields.all("exchange")) {
+  for (const Form* form : fields.all("exchange")) {
     Place place;
-    place.name = nameOf(*one, "exchange");
-    if (fleet.place(place.name) >= 0) one->fail("exchange '" + place.name + "' is given twice");
-    const Fields f(*one, 2, kExchange);
+    place.name = nameOf(*form, "exchange");
+    if (fleet.place(place.name) >= 0) form->fail("exchange '" + place.name + "' is given twice");
+    const Fields f(*form, 2, kExchange);
     place.zone = f.text("zone");
     place.numbers = f.text("numbers");
     const bool onlyDigits = std::all_of(place.numbers.begin(), place.numbers.end(),
@@ -173,7 +173,7 @@
         if (given->items.size() != 2) given->fail("an ADDRESS:PORT is expected");
         *address = asAddress(given->items[1]);
       } else if (requireAddresses) {
-        one->fail(std::string("(") + word + " ADDRESS:PORT) is missing");
+        form->fail(std::string("(") + word + " ADDRESS:PORT) is missing");
       }
     }
     place.setUpsASecond = f.number("capacity", 0.1, 1e6);
@@ -182,24 +182,24 @@
 }
 
 void readGroups(const Fields& fields, Fleet& fleet) {
-  for (const Form* one : fields.all("group")) {
-    if (one->items.size() != 4) one->fail("(group NAME NAME CIRCUITS) is expected");
+  for (const Form* form : fields.all("group")) {
+    if (form->items.size() != 4) form->fail("(group NAME NAME CIRCUITS) is expected");
     Group group;
     int* const ends[] = {&group.a, &group.b};
     for (std::size_t i = 0; i < 2; ++i) {
-      *ends[i] = fleet.place(asText(one->items[i + 1]));
+      *ends[i] = fleet.place(asText(form->items[i + 1]));
       if (*ends[i] >= 0) continue;
       std::vector<std::string_view> known;
       for (const Place& place : fleet.places) known.push_back(place.name);
-      failUnknownWord(one->items[i + 1], one->items[i + 1].value, known);
+      failUnknownWord(form->items[i + 1], form->items[i + 1].value, known);
     }
-    if (group.a == group.b) one->fail("two different exchanges are expected");
+    if (group.a == group.b) form->fail("two different exchanges are expected");
     if (group.a > group.b) std::swap(group.a, group.b);
     for (const Group& other : fleet.groups) {
-      if (other.a == group.a && other.b == group.b) one->fail("this group is given twice");
+      if (other.a == group.a && other.b == group.b) form->fail("this group is given twice");
     }
-    const double circuits = asNumber(one->items[3], 0, 100000);
-    if (circuits != static_cast<int>(circuits)) one->items[3].fail("a whole number of circuits is expected");
+    const double circuits = asNumber(form->items[3], 0, 100000);
+    if (circuits != static_cast<int>(circuits)) form->items[3].fail("a whole number of circuits is expected");
     group.circuits = static_cast<int>(circuits);
     fleet.groups.push_back(group);
   }
@@ -251,41 +251,41 @@
 void readBudgets(const Fields& fields, Fleet& fleet) {
   const std::vector<std::string> zones = fleet.zones();
   const std::vector<std::string_view> zoneNames(zones.begin(), zones.end());
-  for (const Form* one : fields.all("budget")) {
-    if (one->items.size() < 4) one->fail("(budget ZONE ZONE CIRCUITS ...) is expected");
+  for (const Form* budgetForm : fields.all("budget")) {
+    if (budgetForm->items.size() < 4) budgetForm->fail("(budget ZONE ZONE CIRCUITS ...) is expected");
     zones::Budget budget;
     int* const ends[] = {&budget.from, &budget.to};
     for (std::size_t i = 0; i < 2; ++i) {
-      *ends[i] = fleet.zone(asText(one->items[i + 1]));
-      if (*ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, zoneNames);
+      *ends[i] = fleet.zone(asText(budgetForm->items[i + 1]));
+      if (*ends[i] < 0) failUnknownWord(budgetForm->items[i + 1], budgetForm->items[i + 1].value, zoneNames);
     }
-    if (budget.from == budget.to) one->fail("two different zones are expected");
+    if (budget.from == budget.to) budgetForm->fail("two different zones are expected");
     for (const zones::Budget& other : fleet.budgets) {
-      if (other.from == budget.from && other.to == budget.to) one->fail("this budget is given twice");
+      if (other.from == budget.from && other.to == budget.to) budgetForm->fail("this budget is given twice");
     }
     const auto wholeCircuits = [](const Form& form, double least) {
       const double value = asNumber(form, least, 1e6);
       if (value != static_cast<int>(value)) form.fail("a whole number of circuits is expected");
       return static_cast<int>(value);
     };
-    budget.circuits = wholeCircuits(one->items[3], 0);
+    budget.circuits = wholeCircuits(budgetForm->items[3], 0);
     budget.classes.resize(fleet.offeredServices.size());
-    const Fields f(*one, 4, kBudget, kRepeatableInBudget);
+    const Fields f(*budgetForm, 4, kBudget, kRepeatableInBudget);
     int guaranteed = 0;
-    for (const Form* form : f.all("class")) {
-      if (form->items.size() < 2) form->fail("(class SERVICE ...) is expected");
-      const int service = fleet.service(asText(form->items[1]));
+    for (const Form* classForm : f.all("class")) {
+      if (classForm->items.size() < 2) classForm->fail("(class SERVICE ...) is expected");
+      const int service = fleet.service(asText(classForm->items[1]));
       if (service < 0) {
         std::vector<std::string_view> known;
         for (const OfferedService& offer : fleet.offeredServices) known.push_back(offer.name);
-        failUnknownWord(form->items[1], form->items[1].value, known);
+        failUnknownWord(classForm->items[1], classForm->items[1].value, known);
       }
-      const Fields c(*form, 2, kClass);
+      const Fields classFields(*classForm, 2, kClass);
       zones::ClassShare& share = budget.classes[static_cast<std::size_t>(service)];
-      share.guaranteed = c.integer("guaranteed", 0, 1000000);
-      const int most = c.integer("most", -1, 1000000);
+      share.guaranteed = classFields.integer("guaranteed", 0, 1000000);
+      const int most = classFields.integer("most", -1, 1000000);
       if (most >= 0) share.most = most;
-      if (most >= 0 && most < share.guaranteed) form->fail("guaranteed is more than most");
+      if (most >= 0 && most < share.guaranteed) classForm->fail("guaranteed is more than most");
       guaranteed += share.guaranteed;
     }
     budget.dividing = indexOf(f, "dividing", {"equal", "lent"}) == 1 ? zones::Dividing::lent : zones::Dividing::equal;
@@ -293,7 +293,8 @@
     const double circuitSeconds = f.number("circuit-seconds", -1, 1e12);
     if (circuitSeconds >= 0) budget.circuitSeconds = circuitSeconds;
     budget.period = Span::ms(f.number("period", 1000, 1e9));
-    if (guaranteed > budget.circuits) one->fail("the guaranteed circuits of all classes are more than the budget");
+    if (guaranteed > budget.circuits)
+      budgetForm->fail("the guaranteed circuits of all classes are more than the budget");
     fleet.budgets.push_back(std::move(budget));
   }
 }
@@ -336,38 +337,40 @@
   out.precision(15);
   out << "(fleet\n";
   for (std::size_t i = 0; i < fleet.offeredServices.size(); ++i) {
-    const Service& s = fleet.data.services[i];
+    const Service& service = fleet.data.services[i];
     out << "  (service " << fleet.offeredServices[i].name << " (width " << fleet.offeredServices[i].width << ") (value "
-        << s.value << ") (late-value " << s.lateValue << ") (post-dial-target " << s.postDialTarget.ms()
-        << ")\n           "
-        << "(timer-limit " << s.timerLimit.ms() << ") (mean-hold " << s.meanHold.ms() << ") (repeatable "
-        << (s.repeatable ? "yes" : "no") << "))\n";
+        << service.value << ") (late-value " << service.lateValue << ") (post-dial-target "
+        << service.postDialTarget.ms() << ")\n           "
+        << "(timer-limit " << service.timerLimit.ms() << ") (mean-hold " << service.meanHold.ms() << ") (repeatable "
+        << (service.repeatable ? "yes" : "no") << "))\n";
   }
-  const OfficeConfig& d = fleet.data;
-  out << "  (rules (most-invites " << d.maxInvites << ") (release " << d.releaseTime.ms() << ") (drain-grace "
-      << fleet.drainGrace.ms() << ") (cold-from " << d.coldCapacityShare << ")\n         (warm-after "
-      << d.warmUpTime.ms() << ") (fall-multiple " << d.overloadFactor << ") (tip-after " << d.overloadWindow.ms()
-      << ") (retry-after " << (d.honoursRetryAfter ? "yes" : "no") << ")\n         (longest-retry-after "
-      << d.longestRetryAfter.ms() << ") (ask " << (d.mustSubscribe ? "yes" : "no") << "))\n";
-  for (const Place& p : fleet.places) {
-    out << "  (exchange " << p.name << " (zone \"" << p.zone << "\") (numbers \"" << p.numbers << "\") (office \""
-        << text(p.office) << "\") (processor \"" << text(p.processor) << "\") (capacity " << p.setUpsASecond << "))\n";
+  const OfficeConfig& config = fleet.data;
+  out << "  (rules (most-invites " << config.maxInvites << ") (release " << config.releaseTime.ms() << ") (drain-grace "
+      << fleet.drainGrace.ms() << ") (cold-from " << config.coldCapacityShare << ")\n         (warm-after "
+      << config.warmUpTime.ms() << ") (fall-multiple " << config.overloadFactor << ") (tip-after "
+      << config.overloadWindow.ms() << ") (retry-after " << (config.honoursRetryAfter ? "yes" : "no")
+      << ")\n         (longest-retry-after " << config.longestRetryAfter.ms() << ") (ask "
+      << (config.mustSubscribe ? "yes" : "no") << "))\n";
+  for (const Place& place : fleet.places) {
+    out << "  (exchange " << place.name << " (zone \"" << place.zone << "\") (numbers \"" << place.numbers
+        << "\") (office \"" << text(place.office) << "\") (processor \"" << text(place.processor) << "\") (capacity "
+        << place.setUpsASecond << "))\n";
   }
-  for (const Group& g : fleet.groups) {
-    out << "  (group " << fleet.places[static_cast<std::size_t>(g.a)].name << ' '
-        << fleet.places[static_cast<std::size_t>(g.b)].name << ' ' << g.circuits << ")\n";
+  for (const Group& group : fleet.groups) {
+    out << "  (group " << fleet.places[static_cast<std::size_t>(group.a)].name << ' '
+        << fleet.places[static_cast<std::size_t>(group.b)].name << ' ' << group.circuits << ")\n";
   }
   const std::vector<std::string> zones = fleet.zones();
-  for (const zones::Budget& b : fleet.budgets) {
-    out << "  (budget \"" << zones[static_cast<std::size_t>(b.from)] << "\" \"" << zones[static_cast<std::size_t>(b.to)]
-        << "\" " << b.circuits;
-    for (std::size_t i = 0; i < b.classes.size(); ++i) {
-      out << " (class " << fleet.offeredServices[i].name << " (guaranteed " << b.classes[i].guaranteed << ") (most "
-          << b.classes[i].most.value_or(-1) << "))";
+  for (const zones::Budget& budget : fleet.budgets) {
+    out << "  (budget \"" << zones[static_cast<std::size_t>(budget.from)] << "\" \""
+        << zones[static_cast<std::size_t>(budget.to)] << "\" " << budget.circuits;
+    for (std::size_t i = 0; i < budget.classes.size(); ++i) {
+      out << " (class " << fleet.offeredServices[i].name << " (guaranteed " << budget.classes[i].guaranteed
+          << ") (most " << budget.classes[i].most.value_or(-1) << "))";
     }
-    out << " (dividing " << (b.dividing == zones::Dividing::lent ? "lent" : "equal") << ") (overrun "
-        << (b.overrun == zones::Overrun::end ? "end" : "stand") << ") (circuit-seconds "
-        << b.circuitSeconds.value_or(-1) << ") (period " << b.period.ms() << "))\n";
+    out << " (dividing " << (budget.dividing == zones::Dividing::lent ? "lent" : "equal") << ") (overrun "
+        << (budget.overrun == zones::Overrun::end ? "end" : "stand") << ") (circuit-seconds "
+        << budget.circuitSeconds.value_or(-1) << ") (period " << budget.period.ms() << "))\n";
   }
   out << "  (directory \"" << text(fleet.directory) << "\"))\n";
   return out.str();
@@ -401,16 +404,16 @@
   file.options.timing.repeats = f.integer("repeats", 0, 20);
   file.options.timing.ping = span(f, "ping", 100);
   if (const Form* log = f.find("log")) {
-    const Fields l(*log, 1, kLog);
-    file.log.level = l.text("level");
-    file.log.format = l.text("format");
-    file.log.to = l.text("to");
+    const Fields logFields(*log, 1, kLog);
+    file.log.level = logFields.text("level");
+    file.log.format = logFields.text("format");
+    file.log.to = logFields.text("to");
     const std::vector<std::string_view> levels{"debug", "info", "warn", "error"}, formats{"logfmt", "json"};
     if (std::find(levels.begin(), levels.end(), file.log.level) == levels.end()) {
-      failUnknownWord(l.find("level")->items[1], file.log.level, levels);
+      failUnknownWord(logFields.find("level")->items[1], file.log.level, levels);
     }
     if (std::find(formats.begin(), formats.end(), file.log.format) == formats.end()) {
-      failUnknownWord(l.find("format")->items[1], file.log.format, formats);
+      failUnknownWord(logFields.find("format")->items[1], file.log.format, formats);
     }
   }
   return file;
@@ -418,12 +421,12 @@
 
 void explainKeywords(std::ostream& out, std::string_view title, std::span<const Keyword> vocabulary) {
   out << '(' << title << " ...)\n";
-  for (const Keyword& one : vocabulary) {
-    const std::string presence = one.defaultValue.empty()  ? "must be given"
-                                 : one.defaultValue == "-" ? "may be left out"
-                                                           : "default " + std::string(one.defaultValue);
-    out << "  " << std::left << std::setw(20) << one.word << std::setw(32) << one.expects << std::setw(24) << presence
-        << one.description << '\n';
+  for (const Keyword& keyword : vocabulary) {
+    const std::string presence = keyword.defaultValue.empty()  ? "must be given"
+                                 : keyword.defaultValue == "-" ? "may be left out"
+                                                               : "default " + std::string(keyword.defaultValue);
+    out << "  " << std::left << std::setw(20) << keyword.word << std::setw(32) << keyword.expects << std::setw(24)
+        << presence << keyword.description << '\n';
   }
 }
 
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -200,10 +200,10 @@
     if (field.head().empty()) field.fail("a list that begins with a word is expected");
     const std::string_view name = field.head();
     const bool known =
-        std::any_of(vocabulary.begin(), vocabulary.end(), [&](const Keyword& one) { return one.word == name; });
+        std::any_of(vocabulary.begin(), vocabulary.end(), [&](const Keyword& entry) { return entry.word == name; });
     if (!known) {
       std::vector<std::string_view> words;
-      for (const Keyword& one : vocabulary) words.push_back(one.word);
+      for (const Keyword& entry : vocabulary) words.push_back(entry.word);
       failUnknownWord(field.items[0], name, words);
     }
     if (find(name) != nullptr && std::find(repeatable.begin(), repeatable.end(), name) == repeatable.end()) {
@@ -211,28 +211,30 @@
     }
     fields_.push_back(&field);
   }
-  for (const Keyword& one : vocabulary) {
-    if (one.defaultValue.empty() && find(one.word) == nullptr &&
-        std::find(repeatable.begin(), repeatable.end(), one.word) == repeatable.end()) {
-      list.fail("(" + std::string(one.word) + " ...) is missing: " + std::string(one.expects) + " is expected");
+  for (const Keyword& entry : vocabulary) {
+    if (entry.defaultValue.empty() && find(entry.word) == nullptr &&
+        std::find(repeatable.begin(), repeatable.end(), entry.word) == repeatable.end()) {
+      list.fail("(" + std::string(entry.word) + " ...) is missing: " + std::string(entry.expects) + " is expected");
     }
   }
 }
 
 const Form* Fields::find(std::string_view word) const {
-  const auto it = std::find_if(fields_.begin(), fields_.end(), [&](const Form* one) { return one->head() == word; });
+  const auto it =
+      std::find_if(fields_.begin(), fields_.end(), [&](const Form* field) { return field->head() == word; });
   return it == fields_.end() ? nullptr : *it;
 }
 
 std::vector<const Form*> Fields::all(std::string_view word) const {
   std::vector<const Form*> found;
   std::copy_if(fields_.begin(), fields_.end(), std::back_inserter(found),
-               [&](const Form* one) { return one->head() == word; });
+               [&](const Form* field) { return field->head() == word; });
   return found;
 }
 
 const Keyword& Fields::keyword(std::string_view word) const {
-  return *std::find_if(vocabulary_.begin(), vocabulary_.end(), [&](const Keyword& one) { return one.word == word; });
+  return *std::find_if(vocabulary_.begin(), vocabulary_.end(),
+                       [&](const Keyword& entry) { return entry.word == word; });
 }
 
 const Form* Fields::singleValue(std::string_view name) const {
--- a/src/settings/loads.cpp
+++ b/src/settings/loads.cpp
@@ -16,7 +16,7 @@
 std::vector<std::string_view> namesOf(const std::vector<Named>& all) {
   std::vector<std::string_view> names;
   names.reserve(all.size());
-  for (const Named& one : all) names.push_back(one.name);
+  for (const Named& element : all) names.push_back(element.name);
   return names;
 }
 
@@ -30,16 +30,16 @@
   loads.erlangs.assign(places * places * services, 0.0);
   const auto zones = fleet.zones();
   loads.prices.assign(zones.size(), std::vector<double>(zones.size(), 1.0));
-  for (const Form* one : fields.all("load")) {
-    if (one->items.size() < 4) one->fail("(load FROM TO (SERVICE ERLANGS) ...) is expected");
+  for (const Form* form : fields.all("load")) {
+    if (form->items.size() < 4) form->fail("(load FROM TO (SERVICE ERLANGS) ...) is expected");
     int ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
-      ends[i] = fleet.place(asText(one->items[i + 1]));
-      if (ends[i] < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, namesOf(fleet.places));
+      ends[i] = fleet.place(asText(form->items[i + 1]));
+      if (ends[i] < 0) failUnknownWord(form->items[i + 1], form->items[i + 1].value, namesOf(fleet.places));
     }
-    if (ends[0] == ends[1]) one->fail("two different exchanges are expected");
-    for (std::size_t i = 3; i < one->items.size(); ++i) {
-      const Form& offered = one->items[i];
+    if (ends[0] == ends[1]) form->fail("two different exchanges are expected");
+    for (std::size_t i = 3; i < form->items.size(); ++i) {
+      const Form& offered = form->items[i];
       if (!offered.isList() || offered.items.size() != 2) offered.fail("(SERVICE ERLANGS) is expected");
       const int service = fleet.service(asText(offered.items[0]));
       if (service < 0) failUnknownWord(offered.items[0], offered.items[0].value, namesOf(fleet.offeredServices));
@@ -50,15 +50,15 @@
       load = asNumber(offered.items[1], 0, 1e6);
     }
   }
-  for (const Form* one : fields.all("price")) {
-    if (one->items.size() != 4) one->fail("(price ZONE ZONE PRICE) is expected");
+  for (const Form* form : fields.all("price")) {
+    if (form->items.size() != 4) form->fail("(price ZONE ZONE PRICE) is expected");
     std::size_t ends[2];
     for (std::size_t i = 0; i < 2; ++i) {
-      const int zone = fleet.zone(asText(one->items[i + 1]));
-      if (zone < 0) failUnknownWord(one->items[i + 1], one->items[i + 1].value, {zones.begin(), zones.end()});
+      const int zone = fleet.zone(asText(form->items[i + 1]));
+      if (zone < 0) failUnknownWord(form->items[i + 1], form->items[i + 1].value, {zones.begin(), zones.end()});
       ends[i] = static_cast<std::size_t>(zone);
     }
-    loads.prices[ends[0]][ends[1]] = loads.prices[ends[1]][ends[0]] = asNumber(one->items[3], 0.001, 1e9);
+    loads.prices[ends[0]][ends[1]] = loads.prices[ends[1]][ends[0]] = asNumber(form->items[3], 0.001, 1e9);
   }
   return loads;
 }
