--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -361,7 +361,7 @@
   run->excludes(offices)->excludes(fleet);
   report
       ->add_option("--series", reportOptions->level,
-                   "usage per second (of five minutes), minute (of four hours) or hour (of eight days)")
+                   "usage over time by second (five minutes), minute (four hours) or hour (eight days)")
       ->check(CLI::IsMember({"second", "minute", "hour"}));
   auto* csvFlag = report->add_flag("--csv", reportOptions->csv, "print comma-separated values");
   auto* jsonFlag = report->add_flag("--json", reportOptions->json, "print JSON")->excludes(csvFlag);
