--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -103,7 +103,7 @@
     if (syntax == std::end(kFaultSyntax)) {
       std::vector<std::string_view> keywords;
       for (const FaultSyntax& known : kFaultSyntax) keywords.push_back(known.keyword);
-      settings::unknownWord(body.items[0], body.head(), keywords);
+      settings::failUnknownWord(body.items[0], body.head(), keywords);
     }
     fault.kind = syntax->kind;
     fault.text = textOf(body);
@@ -184,7 +184,7 @@
         fault.places = readPlaces(item.items[1]);
         fault.otherPlaces = readPlaces(item.items[2]);
       } else {
-        settings::unknownWord(item, keyword, {"loss", "twice", "late", "cut-short", "between"});
+        settings::failUnknownWord(item, keyword, {"loss", "twice", "late", "cut-short", "between"});
       }
     }
   }
@@ -195,7 +195,7 @@
     for (std::size_t i = 0; i < 2; ++i) {
       *zones[i] = plan_.fleet.zone(settings::asText(form.items[i + 1]));
       if (*zones[i] < 0)
-        settings::unknownWord(form.items[i + 1], form.items[i + 1].value, {names.begin(), names.end()});
+        settings::failUnknownWord(form.items[i + 1], form.items[i + 1].value, {names.begin(), names.end()});
     }
     const auto& budgets = plan_.fleet.budgets;
     if (std::none_of(budgets.begin(), budgets.end(), [&](const zones::Budget& budget) {
@@ -242,7 +242,7 @@
     if (place >= 0) return {place};
     std::vector<std::string_view> known{"all"};
     for (const ExchangeSite& candidate : places) known.push_back(candidate.name);
-    settings::unknownWord(form, form.value, known);
+    settings::failUnknownWord(form, form.value, known);
   }
 
   static std::string textOf(const Form& form) {
@@ -262,11 +262,11 @@
   plan.shape = fields.text("shape");
   const std::vector<std::string_view> shapes{"steady", "wave", "ramp"};
   if (std::find(shapes.begin(), shapes.end(), plan.shape) == shapes.end()) {
-    settings::unknownWord(fields.find("shape")->items[1], plan.shape, shapes);
+    settings::failUnknownWord(fields.find("shape")->items[1], plan.shape, shapes);
   }
   plan.swing = fields.number("swing", 0, 1);
   plan.pairSpread = fields.number("pair-spread", 0, 5);
-  plan.behaviour.redials = fields.whole("redials", 0, 20);
+  plan.behaviour.redials = fields.integer("redials", 0, 20);
   plan.behaviour.backoff = Span::ms(fields.number("backoff", 1, 1e6));
   plan.behaviour.retryAfterCompliance = fields.number("honour", 0, 1);
   plan.behaviour.attemptTimeoutShare = fields.number("try-share", 0.01, 1);
@@ -277,7 +277,7 @@
     if (service < 0) {
       std::vector<std::string_view> known;
       for (const OfferedService& offer : plan.fleet.offeredServices) known.push_back(offer.name);
-      settings::unknownWord(share->items[1], share->items[1].value, known);
+      settings::failUnknownWord(share->items[1], share->items[1].value, known);
     }
     plan.serviceWeights[static_cast<std::size_t>(service)] = settings::asNumber(share->items[2], 0, 1e6);
   }
@@ -294,7 +294,7 @@
   const Form& fleet = *fields.find("fleet");
   if (fleet.items.size() == 2 && !fleet.items[1].isList()) {
     const auto path = std::filesystem::path(folder) / fleet.items[1].value;
-    plan.fleet = settings::readFleet(settings::Document::open(path.string()).only("fleet"), false);
+    plan.fleet = settings::readFleet(settings::Document::open(path.string()).onlyForm("fleet"), false);
   } else {
     plan.fleet = settings::readFleet(fleet, false);
   }
@@ -310,7 +310,7 @@
   plan.processor.followUpWork = processorFields.number("follow-work", 0, 100);
   plan.processor.rejectWork = processorFields.number("turn-away-work", 0, 100);
   plan.processor.maxQueueDelay = Span::ms(processorFields.number("longest-wait", 0, 1e6));
-  plan.massCallLines = processorFields.whole("lines", 1, 100000);
+  plan.massCallLines = processorFields.integer("lines", 1, 100000);
   plan.processor.coldCapacityShare = plan.fleet.config.coldCapacityShare;
   plan.processor.warmUpTime = plan.fleet.config.warmUpTime;
   plan.processor.overloadFactor = plan.fleet.config.overloadFactor;
@@ -328,7 +328,7 @@
 
 DayPlan openDay(const std::string& path) {
   const settings::Document document = settings::Document::open(path);
-  return readDay(document.only("day"), std::filesystem::path(path).parent_path().string());
+  return readDay(document.onlyForm("day"), std::filesystem::path(path).parent_path().string());
 }
 
 std::string massCallNumber(const Fleet& fleet, int place) {
@@ -424,10 +424,10 @@
 }
 
 void explainDay(std::ostream& out) {
-  settings::explainWords(out, "day NAME", kDay);
-  settings::explainWords(out, "callers", kCallers);
-  settings::explainWords(out, "processor", kProcessor);
-  settings::explainWords(out, "network", kNetwork);
+  settings::explainKeywords(out, "day NAME", kDay);
+  settings::explainKeywords(out, "callers", kCallers);
+  settings::explainKeywords(out, "processor", kProcessor);
+  settings::explainKeywords(out, "network", kNetwork);
   out << "(at TIME (FAULT ...)): TIME in milliseconds or (between FROM TO); WHERE is an exchange's name, all, (any "
          "N)\n"
          "or (zone NAME)\n";
