--- a/include/thistlefold/controller.hpp
+++ b/include/thistlefold/controller.hpp
@@ -17,6 +17,7 @@
 class RoundEvents {
  public:
   virtual ~RoundEvents() = default;
+  /// Called by Controller::round(), once per round.
   virtual void deliver(Controller& controller) = 0;
 };
 
--- a/include/thistlefold/office_config.hpp
+++ b/include/thistlefold/office_config.hpp
@@ -22,9 +22,9 @@
   std::vector<Service> services;   ///< must not be resized while sessions refer to them
   bool usesPools = false;          ///< exchanges are interchangeable agent pools instead of a mesh with tandems
   int fleetSize = 0;               ///< offices in the whole fleet, including this one; 0 if unknown
-  int maxInvites = 1;              ///< INVITEs per session
+  int maxInvites = 1;              ///< maximum number of INVITEs per session
   bool mustSubscribe = false;      ///< the directory sends the list of exchanges only to subscribers
-  Span listStaleAfter;             ///< time without news from the directory after which the list counts as stale
+  Span listStaleAfter;             ///< age at which a list counts as stale; bounds the back-off after listFailed()
   bool honoursRetryAfter = false;  ///< callers honour a retry-after
   Span longestRetryAfter;          ///< upper bound on a retry-after
   Span releaseTime;                ///< how long an unanswered or reset INVITE may hold circuits after it ended
--- a/include/thistlefold/samples.hpp
+++ b/include/thistlefold/samples.hpp
@@ -11,6 +11,7 @@
 template <typename T, std::size_t N>
 class Samples {
  public:
+  /// A value and the instant at which it was taken.
   struct Sample {
     Instant at;
     T value;
@@ -25,7 +26,9 @@
     ring_[(first_ + count_) % N] = Sample{at, value};
     ++count_;
   }
+  /// Discards all samples.
   void clear() { count_ = 0; }
+  /// Number of samples held, at most capacity().
   std::size_t size() const { return count_; }
   static constexpr std::size_t capacity() { return N; }
   /// The sample at index `i`, counted from the oldest; `i` has to be less than size().
--- a/include/thistlefold/time.hpp
+++ b/include/thistlefold/time.hpp
@@ -22,7 +22,9 @@
   friend constexpr auto operator<=>(Span, Span) = default;
   friend constexpr Span operator+(Span a, Span b) { return Span(a.us_ + b.us_); }
   friend constexpr Span operator-(Span a, Span b) { return Span(a.us_ - b.us_); }
+  /// The product, rounded to the nearest microsecond.
   friend constexpr Span operator*(Span a, double by) { return ms(a.ms() * by); }
+  /// The ratio of two durations; infinite or NaN if `b` is zero.
   friend constexpr double operator/(Span a, Span b) { return static_cast<double>(a.us_) / static_cast<double>(b.us_); }
 
  private:
--- a/src/bench_adapter/bench_adapter.hpp
+++ b/src/bench_adapter/bench_adapter.hpp
@@ -12,6 +12,7 @@
 /// Hosts any number of offices behind the bench protocol, which consists of one JSON object per line.
 class BenchAdapter {
  public:
+  /// Starts without any office; offices are added by the batches.
   BenchAdapter();
   ~BenchAdapter();
   /// Processes one batch of events and returns the reply with the actions that the offices decided on, both without the
--- a/src/wire/exchange_registry.hpp
+++ b/src/wire/exchange_registry.hpp
@@ -18,8 +18,8 @@
 
 /// One entry of a list of exchanges.
 struct ListEntry {
-  std::uint32_t id = 0;
-  int place = -1;
+  std::uint32_t id = 0;   ///< of the exchange, as in ListedExchange::id
+  int place = -1;         ///< number under which the exchange is dialled; used only if `hasPlace`
   bool hasPlace = false;  ///< whether the entry names a place; without one the exchange keeps its former place
   Readiness readiness = Readiness::gone;
   Instant started = Instant::distantPast();  ///< when its processor last started; distantPast() if not given
@@ -29,6 +29,7 @@
 /// since the controller may hold a pointer to any of them.
 class ExchangeRegistry {
  public:
+  /// Creates an exchange; the registry sets its id. Must not return null.
   using Factory = std::function<std::unique_ptr<ListedExchange>()>;
   /// `ownPlace`: place of the own exchange, -1 if there is none. `factory` creates an exchange; a host that attaches
   /// further state to exchanges passes one that creates its derived type.
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -17,6 +17,7 @@
   using std::runtime_error::runtime_error;
 };
 
+/// A JSON value of any type.
 using rapidjson::Value;
 
 /// The characters of a JSON string. The view is valid as long as `value` is; so are all views and references below.
@@ -32,8 +33,9 @@
 const Value* find(const Value& fields, const char* name);
 /// The field; throws ParseError if it is absent.
 const Value& requireField(const Value& fields, const char* name);
-/// The finite number in `value`; `name` is the field that an error names.
+/// The finite number in `value`; `name` is the field that an error names. Throws ParseError if it is no number.
 double asNumber(const Value& value, const char* name);
+/// A finite number.
 double number(const Value& fields, const char* name);
 double number(const Value& fields, const char* name, double defaultValue);
 /// A whole number of magnitude up to 2e9. Without a default the field is required.
@@ -47,9 +49,10 @@
 const Value& object(const Value& fields, const char* field);
 /// An array; empty if the field is absent.
 const Value& array(const Value& fields, const char* field);
-/// The number at `index` of an array, or the default if the array is shorter. `field` is the field that an error names.
+/// The finite number at `index` of the array `list`, or the default if the array is shorter. `field` is the field that
+/// an error names. Throws ParseError if the element is no number.
 double element(const Value& list, rapidjson::SizeType index, const char* field, double defaultValue);
-/// The field "Exchange": the id of an exchange, below 2^32.
+/// The field "Exchange", which is required: the id of an exchange, below 2^32.
 std::uint32_t exchangeId(const Value& fields);
 
 }  // namespace thistlefold::wire
--- a/src/wire/office_config.hpp
+++ b/src/wire/office_config.hpp
@@ -10,7 +10,7 @@
 
 /// Reads the configuration of an office. Throws ParseError if a required field is absent or a field has a wrong type.
 OfficeConfig readOfficeConfig(const Value& settings);
-/// The place of the own exchange, -1 if there is none. Throws ParseError.
+/// The place of the own exchange, -1 if none is given. Throws ParseError if a field has a wrong type.
 int ownPlace(const Value& settings);
 
 }  // namespace thistlefold::wire
