--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -26,8 +26,9 @@
 class Clock {
  public:
   virtual ~Clock() = default;
+  /// The current time, on the time scale of this clock.
   virtual Instant now() const = 0;
-  /// The timer must not outlive the clock.
+  /// Creates a timer without a deadline. The timer must not outlive the clock.
   virtual std::unique_ptr<Timer> makeTimer() = 0;
 };
 
--- a/src/net/real.hpp
+++ b/src/net/real.hpp
@@ -16,6 +16,7 @@
 
 /// Datagrams of a port since it was bound.
 struct PortCounters {
+  /// `dropped`: datagrams to be sent that the system did not take.
   std::uint64_t received = 0, sent = 0, dropped = 0;
   int receiveBufferBytes = 0;  ///< size of the receive buffer as granted by the system
 };
@@ -23,6 +24,7 @@
 /// A UDP socket.
 class RealPort : public Port {
  public:
+  /// Counts since the port was bound; the reference is valid as long as the port.
   virtual const PortCounters& counters() const = 0;
 };
 
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -19,6 +19,7 @@
 /// with equal deadlines, in the order in which they were set.
 class VirtualClock final : public Clock {
  public:
+  /// The clock starts at 1000 ms.
   explicit VirtualClock(boost::asio::io_context& context) : context_(context) {}
   ~VirtualClock() override;
 
@@ -46,9 +47,11 @@
 /// fire when the host is thawed, as after SIGSTOP and SIGCONT.
 class VirtualHost final : public Clock {
  public:
+  /// `clock` must outlive the host.
   explicit VirtualHost(VirtualClock& clock) : clock_(clock) {}
   Instant now() const override { return clock_.now(); }
   std::unique_ptr<Timer> makeTimer() override;
+  /// Freezes or thaws the host. The time that now() gives goes on while it is frozen.
   void setFrozen(bool frozen);
 
  private:
@@ -68,9 +71,12 @@
  public:
   /// `clock` must outlive the network.
   explicit MemoryNetwork(VirtualClock& clock) : clock_(clock) {}
+  /// Replaces the impairment; it applies to datagrams sent from now on.
   void setImpairment(Impairment impairment) { impairment_ = std::move(impairment); }
-  /// Observes each datagram when it is sent and (`delivered`) when it enters the queue of its port.
+  /// Observes each datagram when it is sent and (`delivered`) when it enters the queue of its port. The addresses are
+  /// the source and the destination; the bytes are valid only during the call.
   using Tap = std::function<void(Instant, iax2::Address, iax2::Address, std::span<const std::uint8_t>, bool delivered)>;
+  /// Replaces the tap; an empty one observes nothing.
   void setTap(Tap tap) { tap_ = std::move(tap); }
   /// Opens a port with this address. The network must outlive it. A datagram that arrives while `capacity` datagrams
   /// wait is dropped.
--- a/src/platform/bulletin.hpp
+++ b/src/platform/bulletin.hpp
@@ -18,7 +18,7 @@
 /// An entry of the exchange list with the address at which the exchange accepts connections.
 struct ExchangeLocation {
   wire::ListEntry entry;
-  iax2::Address address;
+  iax2::Address address;  ///< TCP address
 };
 
 /// One numbered change of the exchange list.
--- a/src/platform/connections.hpp
+++ b/src/platform/connections.hpp
@@ -30,6 +30,7 @@
 /// State common to all connections of a softswitch.
 struct Connection {
   virtual ~Connection() = default;
+  /// What the connection leads to: a caller, an exchange, or the bulletin.
   enum class Type { caller, trunk, bulletin } type = Type::caller;
   Stream* stream = nullptr;  ///< nullptr: closed, or not opened yet
 };
@@ -40,9 +41,9 @@
   /// `partialLineSince`: when the incomplete line that waits was first seen; never if there is none.
   Instant connectedAt, partialLineSince = Instant::never(), lastMessageAt;
   bool hasSentValidMessage = false;
-  bool hadEstablishedCall = false;
-  int invalidMessages = 0;
-  std::size_t pendingSetups = 0;  ///< set-ups without a final answer
+  bool hadEstablishedCall = false;  ///< a call was answered on it, or it reported an established one
+  int invalidMessages = 0;          ///< received so far
+  std::size_t pendingSetups = 0;    ///< set-ups without a final answer
 };
 
 /// A release that was written to an exchange.
@@ -54,13 +55,13 @@
 
 /// An outgoing connection to an exchange.
 struct TrunkConnection : Connection {
-  Peer* peer = nullptr;
+  Peer* peer = nullptr;  ///< the exchange; owns this connection
   LineReader reader;
-  bool connected = false;
-  bool suspect = false;  ///< a set-up on it timed out and nothing was received since
+  bool connected = false;  ///< established
+  bool suspect = false;    ///< a set-up on it timed out and nothing was received since
   /// `lastRequestAt`: when the last set-up, or the release of a set-up that timed out, was written.
   Instant connectStartedAt, lastReceivedAt, lastRequestAt;
-  std::vector<Call*> invitedCalls;
+  std::vector<Call*> invitedCalls;        ///< calls whose INVITE is out on it or waits until it is connected
   std::vector<SentRelease> sentReleases;  ///< releases written to it that were not acknowledged yet
 };
 
@@ -70,20 +71,21 @@
   std::vector<std::unique_ptr<TrunkConnection>> connections;
   std::vector<std::pair<std::string, int>> pendingReleases;  ///< id and cause, written on the next connection
   std::vector<Call*> establishedCalls;
-  Instant nextConnectAt = Instant::distantPast();
-  Instant restartedAt = Instant::distantPast();  ///< when the bulletin reported a new process or address
-  Span backoff = kInitialBackoff;
-  Instant refusedSince = Instant::never();       ///< connection attempts fail since then and none is established
-  Instant lastAliveAt = Instant::distantPast();  ///< when it last sent a message or accepted a connection
-  Instant livenessCheckedAt = Instant::distantPast();
-  int failedConnects = 0;  ///< connection attempts that failed since `lastAliveAt`
+  Instant nextConnectAt = Instant::distantPast();  ///< end of the back-off; connections for an INVITE don't wait for it
+  Instant restartedAt = Instant::distantPast();    ///< when the bulletin reported a new process or address
+  Span backoff = kInitialBackoff;           ///< before the next attempt; doubled, up to a bound, by each failed one
+  Instant refusedSince = Instant::never();  ///< connection attempts fail since then and none is established
+  Instant lastAliveAt = Instant::distantPast();        ///< when it last sent a message or accepted a connection
+  Instant livenessCheckedAt = Instant::distantPast();  ///< last check by a connection, made after a silence
+  int failedConnects = 0;                              ///< connection attempts that failed since `lastAliveAt`
 };
 
 /// A call, from its set-up to its end. Owned by the softswitch.
 struct Call : Session {
   /// `key`: the dialled number as written in the set-up. `description`: empty once the set-up has its final answer.
   std::string id, key, description;
-  std::size_t serviceIndex = 0;
+  std::size_t serviceIndex = 0;  ///< into Deployment::services
+  /// Progress of the call.
   enum class State {
     unrouted,     ///< no INVITE is out; the controller decides
     invited,      ///< an INVITE is out or waits for its connection
--- a/src/platform/message.hpp
+++ b/src/platform/message.hpp
@@ -35,19 +35,20 @@
 /// the expected form.
 std::optional<Message> readMessage(std::string_view line);
 
+/// Names and values of the fields of a message to be written. Each value is written as a JSON string.
 using Fields = std::vector<std::pair<std::string_view, std::string>>;
 /// Encodes a message as a line with its line feed. A negative cause or an empty description is left out.
 std::string writeMessage(MessageKind kind, std::string_view id, const Fields& fields, int cause = -1,
                          std::string_view description = {});
 
-/// Returns nullopt unless the whole text is a finite number.
+/// Reads a decimal number. Returns nullopt unless the whole text is a finite number.
 std::optional<double> readNumber(std::string_view text);
 /// Milliseconds as decimal text, rounded to the nearest integer.
 std::string formatMilliseconds(Span span);
 /// The value of `name` in a list of figures such as "x0:12;x1:40"; nullopt if the list has no such figure.
 std::optional<std::string_view> findFigure(std::string_view figures, std::string_view name);
 
-/// Returns nullopt unless the text is one to sixteen hex digits.
+/// Reads a hexadecimal number. Returns nullopt unless the text is one to sixteen hex digits.
 std::optional<std::uint64_t> readHex(std::string_view text);
 /// Reads an exchange id such as "s-00c41f7a"; nullopt if the text has another form.
 std::optional<std::uint32_t> readExchangeId(std::string_view text);
--- a/src/platform/softswitch.hpp
+++ b/src/platform/softswitch.hpp
@@ -67,6 +67,7 @@
   /// Closes each connection once the data sent on it was delivered. To be called after isStopped() has become true.
   void closeConnections(Instant now);
 
+  /// Events since the start; the reference is valid as long as the softswitch.
   const SoftswitchCounters& counters() const { return counters_; }
   /// Counters and the state of this softswitch and of each exchange as `name=value` pairs, in one line.
   std::string statusLine() const;
