--- a/src/capture/capture.hpp
+++ b/src/capture/capture.hpp
@@ -16,7 +16,7 @@
 
 /// One captured datagram.
 struct Packet {
-  Instant at;
+  Instant at;              // written with a resolution of 1 us
   bool delivered = false;  // captured on delivery; otherwise when sent
   iax2::Address from, to;
   std::span<const std::uint8_t> payload;  // not owned
@@ -32,8 +32,9 @@
  public:
   /// Overwrites an existing file. Throws std::runtime_error if the file can't be written.
   explicit Writer(const std::string& path);
+  /// Appends a packet. A failure to write is reported by close().
   void write(const Packet& packet);
-  /// Records an action of the script.
+  /// Records an action of the script, as a packet from kScriptAddress to kDiscardAddress with `text` as its payload.
   void note(Instant at, const std::string& text);
   /// Flushes the file. Throws std::runtime_error if any part of it could not be written.
   void close();
--- a/src/iax2/address.hpp
+++ b/src/iax2/address.hpp
@@ -10,7 +10,7 @@
 
 namespace thistlefold::iax2 {
 
-/// An IPv4 address and UDP port, both in host order.
+/// An IPv4 address and a UDP or TCP port, both in host order.
 struct Address {
   std::uint32_t ip = 0;
   std::uint16_t port = 0;
@@ -27,6 +27,7 @@
 
 }  // namespace thistlefold::iax2
 
+/// Hash of an address, for unordered containers.
 template <>
 struct std::hash<thistlefold::iax2::Address> {
   std::size_t operator()(const thistlefold::iax2::Address& a) const { return std::hash<std::uint64_t>()(a.key()); }
--- a/src/iax2/endpoint.hpp
+++ b/src/iax2/endpoint.hpp
@@ -59,6 +59,7 @@
 /// One end of one call. Owned by its Endpoint, which destroys it some time after its end.
 class Call {
  public:
+  /// Address of the far end.
   Address peer() const { return peer_; }
   /// This end's call number.
   std::uint16_t number() const { return local_; }
@@ -139,7 +140,8 @@
   /// Sends a frame reliably. Does nothing once the call is closing.
   void send(Instant now, Call& call, Iax subclass, const Elements& elements = {});
   void send(Instant now, Call& call, Control subclass);
-  /// Sends HANGUP (or REJECT, for a call that was not accepted). The owner is still called with onCallEnded().
+  /// Sends HANGUP (or REJECT, for a call that was not accepted), given by `how`. Does nothing once the call is closing.
+  /// The owner is still called with onCallEnded().
   void hangUp(Instant now, Call& call, Iax how, const Elements& elements);
   /// Destroys the call without sending anything and without onCallEnded(); later frames to it are answered INVAL.
   void discard(Call& call);
@@ -152,6 +154,7 @@
   /// Sends the pending acknowledgements and passes all datagrams to `out`, oldest first.
   void flush(Instant now, const std::function<void(Address, Bytes)>& out);
 
+  /// Counts since the start; the reference is valid as long as the endpoint.
   const EndpointCounters& counts() const { return counts_; }
   /// Calls at present, including lingering ones.
   std::size_t calls() const { return byLocal_.size(); }
--- a/src/iax2/frame.hpp
+++ b/src/iax2/frame.hpp
@@ -11,6 +11,7 @@
 
 namespace thistlefold::iax2 {
 
+/// Encoded bytes, not owned.
 using Bytes = std::span<const std::uint8_t>;
 
 /// Frame types, RFC 5456 section 8.2. A frame may also have a value that is not named here.
@@ -43,7 +44,9 @@
   proceeding = 0x0f,
 };
 
-/// Why a session was not set up, as distinguished by the module. Carried in a private element beside the cause code.
+/// Why a session was not set up or was dropped, as distinguished by the module. Carried in a private element beside the
+/// cause code. noCircuit to lineBusy correspond to BlockingReason; reset: a fault ended the leg, and the INVITE may
+/// have executed; noRoute: the NEW is invalid or names no known service or destination.
 enum class ReleaseReason : std::uint8_t { none, noCircuit, turnedBack, processorFull, lineBusy, reset, noRoute };
 
 /// Information elements, RFC 5456 section 8.6, and the private ones of docs/wire.md. Texts point into the datagram from
@@ -51,12 +54,12 @@
 struct Elements {
   std::string_view calledNumber;
   std::string_view callingNumber;
-  std::string_view calledContext;  // the service
-  std::string_view cause;
-  std::optional<std::uint8_t> causeCode;  // ITU-T Q.850
-  std::optional<std::uint16_t> version;
-  std::optional<std::uint32_t> format;
-  std::optional<std::uint8_t> unknownSubclass;
+  std::string_view calledContext;               // the service
+  std::string_view cause;                       // why the call ended, as text
+  std::optional<std::uint8_t> causeCode;        // ITU-T Q.850
+  std::optional<std::uint16_t> version;         // of the protocol
+  std::optional<std::uint32_t> format;          // media format
+  std::optional<std::uint8_t> unknownSubclass;  // the subclass that UNSUPPORT answers
 
   // Private.
   std::optional<std::uint64_t> session;           // number of the session, the same on all of its legs
@@ -83,6 +86,7 @@
   Type type = Type::iax;
   std::uint8_t subclass = 0;
 
+  /// Whether this is a frame of that type and subclass.
   bool is(Iax what) const { return type == Type::iax && subclass == static_cast<std::uint8_t>(what); }
   bool is(Control what) const { return type == Type::control && subclass == static_cast<std::uint8_t>(what); }
 };
@@ -92,12 +96,13 @@
   Elements elements;
 };
 
-/// What kind of datagram was decoded.
+/// What kind of datagram was decoded: a full frame; a frame without the full-frame bit, such as a mini frame; or
+/// neither.
 enum class DecodeResult { full, mini, malformed };
 
 /// Decodes a datagram into `frame`, which is meaningful only if the result is `full`. A datagram is malformed if it is
 /// too short or too long, if an element runs over its end, or if a known element has the wrong length or an unknown
-/// value. Unknown elements are skipped (RFC 5456 section 8.6).
+/// value. Unknown elements are skipped (RFC 5456 section 8.6). Elements are decoded for frames of type `iax` only.
 DecodeResult decode(Bytes datagram, Frame& frame);
 
 /// Encodes a full frame. Texts longer than 255 bytes are truncated. Elements are encoded for frames of type `iax` only.
