--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -25,9 +25,9 @@
 struct ExchangeSite {
   std::string name;
   std::string zone;
-  std::string numbers;  // prefix of the called numbers that end here
-  iax2::Address office;
-  iax2::Address processor;
+  std::string numbers;           // prefix of the called numbers that end here
+  iax2::Address office;          // of the office in front of the exchange
+  iax2::Address processor;       // of the exchange itself
   double setUpsPerSecond = 500;  // capacity of its processor when warm
 };
 
@@ -39,14 +39,14 @@
 
 /// One fleet as configured.
 struct Fleet {
-  std::vector<OfferedService> offeredServices;
-  OfficeConfig config;
+  std::vector<OfferedService> offeredServices;  // by service index
+  OfficeConfig config;                          // common to all offices
   /// Offices may still send sessions to an exchange for this long after it has been listed as draining.
   Span drainGrace = Span::ms(500);
   std::vector<ExchangeSite> places;
   std::vector<Group> groups;
   std::vector<zones::Budget> budgets;  // by ordered pair of zones; at most one for each
-  iax2::Address directory;
+  iax2::Address directory;             // from which offices request lists
 
   /// Index of the service with that name, or -1.
   int service(std::string_view name) const;
--- a/src/office/list.hpp
+++ b/src/office/list.hpp
@@ -23,7 +23,7 @@
   Span age;  // how long that processor has run
 };
 
-/// Present size of a trunk group where it differs from the fleet file.
+/// Present size of a trunk group whose size was changed from that in the fleet file.
 struct GroupSize {
   int a = 0, b = 0;  // places
   int circuits = 0;
@@ -37,7 +37,7 @@
   /// True: exchanges that the list does not name are gone. False: it names only those that have changed.
   bool full = false;
   std::vector<ListEntry> entries;
-  std::vector<GroupSize> groups;
+  std::vector<GroupSize> groups;  // a group that is not named keeps its size
 };
 
 /// The datagram that carries `list`.
--- a/src/office/office.hpp
+++ b/src/office/office.hpp
@@ -52,7 +52,8 @@
 /// Called synchronously from within the office; must not call back into it.
 using OfficeObserver = std::function<void(const OfficeEvent&)>;
 
-/// Creates the routing module's controller. Tests of the audit pass a factory of controllers that break the rules.
+/// Creates the routing module's controller; the configuration outlives it. Tests of the audit pass a factory of
+/// controllers that break the rules.
 using ControllerFactory = std::function<std::unique_ptr<Controller>(const OfficeConfig&, std::uint64_t seed)>;
 
 /// Settings of one office; what all offices share is in Fleet.
@@ -108,15 +109,18 @@
   /// True after stop() once the far ends have confirmed the end of all calls, or have failed to in time.
   bool stopped() const { return stopping_ && legs_.empty() && sessions_.empty(); }
 
+  /// Counts since the start; the reference is valid as long as the office.
   const OfficeCounters& counters() const { return counters_; }
   /// Counts of frames and calls of the IAX2 endpoint.
   const iax2::EndpointCounters& signallingCounters() const { return endpoint_.counts(); }
   /// Sessions held at present, established or not.
   std::size_t sessions() const { return sessions_.size(); }
+  /// Those of them that are established.
   std::size_t establishedSessions() const { return establishedSessions_; }
-  /// This end's view of the group to `place`; null if there is none. Valid as long as the office.
+  /// This end's view of the group to `place`, a valid index into Fleet::places; null if there is none. Valid as long as
+  /// the office.
   const TrunkGroup* trunkGroup(int place) const;
-  /// Readiness of the exchange as the directory listed it last; `gone` until then.
+  /// Readiness of the exchange at `place`, a valid index, as the directory listed it last; `gone` until then.
   Readiness listedReadiness(int place) const;
   /// Replaces the budgets between zones. New legs obey them; established sessions are left to end by themselves unless
   /// the budget demands otherwise.
--- a/src/office/trunk_group.hpp
+++ b/src/office/trunk_group.hpp
@@ -12,12 +12,14 @@
   /// Exactly one end of a group is the controlling one, that of the lower place.
   TrunkGroup(int size, bool controlling) : size_(size), controlling_(controlling) {}
 
+  /// Circuits of the group, free or in use.
   int size() const { return size_; }
   /// Circuits in use in both directions.
   int circuitsInUse() const { return inUse_; }
+  /// Circuits free at present.
   int free() const { return std::max(0, size_ - inUse_); }
 
-  /// Seizes circuits for an outgoing session. Returns false and seizes nothing if there are too few.
+  /// Seizes `width` circuits for an outgoing session. Returns false and seizes nothing if there are too few.
   bool seizeOutgoing(int width) {
     if (width > size_ - inUse_) return false;
     inUse_ += width;
@@ -28,7 +30,7 @@
   /// glare on its circuits is then no longer possible.
   void confirmOutgoing(int width) { unconfirmed_ -= width; }
 
-  /// Seizes circuits for an incoming session. Returns false if it is to be turned back for want of circuits.
+  /// Seizes `width` circuits for an incoming session. Returns false if it is to be turned back for want of circuits.
   bool seizeIncoming(int width) {
     const int freeCircuits = size_ - inUse_;
     if (width > freeCircuits) {
@@ -41,10 +43,14 @@
     inUse_ += width;
     return true;
   }
+  /// Frees the circuits of a session that has ended, outgoing or incoming.
   void release(int width) { inUse_ -= width; }
-  /// Circuits were lost or restored. Sessions keep theirs; excess() says for how many circuits there are none any more.
+  /// Sets the number of circuits after some were lost or restored. Sessions keep theirs; see excess().
   void resize(int size) { size_ = size; }
+  /// Circuits counted as in use beyond the size of the group, after a loss of circuits or while glare is being
+  /// resolved.
   int excess() const { return std::max(0, inUse_ - size_); }
+  /// Whether this end keeps its own session under glare.
   bool controlling() const { return controlling_; }
   /// Incoming sessions accepted under glare since the start.
   int glares() const { return glares_; }
