--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -17,7 +17,7 @@
   int rule = 0;               // 1 to 5
   std::uint64_t session = 0;  // 0 where the frame named none
   double atMs = 0;            // milliseconds since the begin of the day
-  std::string text;
+  std::string text;           // what happened, for people
 };
 
 /// A kind of leg between two zones: who sends to whom, for which service, and which part of the session's path it is
@@ -51,6 +51,8 @@
   // Call attempts that reached an office, in total and by outcome; and those that reached none (`undelivered`).
   std::uint64_t attempts = 0, established = 0, refused = 0, callerLeft = 0, officeDown = 0, unanswered = 0,
                 undelivered = 0;
+  // INVITEs sent without their retransmissions, those of them to a tandem, and datagrams sent. `lost` is not counted
+  // and stays 0.
   std::uint64_t invites = 0, tandemInvites = 0, datagrams = 0, lost = 0;
   double peakColdLoad = 0;  // largest share of rule 4's limit that was sent to a cold exchange; above 1: violated
   /// Whether every call attempt that reached an office has an outcome.
--- a/src/day/testbed.hpp
+++ b/src/day/testbed.hpp
@@ -19,10 +19,14 @@
 
 // Identities: the fixed addresses under which the parts of a fleet appear in the capture, whatever sockets are used
 // underneath.
+
+/// Identity of the office at a place.
 iax2::Address officeIdentity(int place);
+/// Identity of the processor at a place.
 iax2::Address processorIdentity(int place);
 /// The fleet with identities as addresses, which the audit needs.
 Fleet withIdentityAddresses(Fleet fleet);
+/// Identities of the directory and of all callers together.
 inline constexpr iax2::Address kDirectoryIdentity{0x7f030001, 4570};
 inline constexpr iax2::Address kCallersIdentity{0x7f040001, 4569};
 
@@ -35,6 +39,7 @@
 class Testbed {
  public:
   virtual ~Testbed() = default;
+  /// The testbed's clock.
   virtual Instant now() const = 0;
   /// How exact the timestamps in the capture are.
   virtual audit::Tolerance tolerance() const { return {}; }
@@ -51,7 +56,7 @@
   /// To be called after a handler was changed by other means than its own process().
   virtual void wakeUp(iax2::Address identity) = 0;
 
-  /// Throws TestbedError if the office does not start.
+  /// Starts the office at a place with `seed` as OfficeOptions::seed. Throws TestbedError if it does not start.
   virtual void startOffice(int place, std::uint64_t seed) = 0;
   /// Ends an office at once, without any message.
   virtual void killOffice(int place) = 0;
@@ -66,6 +71,8 @@
 
   /// Calls `action` at `when`, from within runUntil().
   virtual void schedule(Instant when, std::function<void()> action) = 0;
+  /// Runs the attached handlers and the scheduled actions until `end` on the testbed's clock, and the offices unless
+  /// they are processes of their own.
   virtual void runUntil(Instant end) = 0;
 };
 
--- a/src/dimension/theory.hpp
+++ b/src/dimension/theory.hpp
@@ -43,6 +43,7 @@
 struct PeakyTraffic {
   double mean = 0;
   double variance = 0;
+  /// Variance divided by mean; 1, as of Poisson traffic, if there is no traffic.
   double peakedness() const { return mean > 0 ? variance / mean : 1; }
 };
 /// The traffic that overflows from a group that is offered Poisson traffic (Riordan, in Wilkinson, BSTJ 35, 1956).
--- a/src/settings/form.hpp
+++ b/src/settings/form.hpp
@@ -33,6 +33,7 @@
   /// Name of the file, owned by the Document that the form was read from.
   const std::string* file = nullptr;
 
+  /// Whether the form is a list and not an atom.
   bool isList() const { return kind == Kind::list; }
   /// The first word of a list; empty for an atom and for a list that doesn't begin with a word. Valid as long as the
   /// form.
@@ -88,6 +89,7 @@
   Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
          std::span<const std::string_view> repeatable = {});
 
+  /// Whether the list has a field with this keyword.
   bool has(std::string_view word) const { return find(word) != nullptr; }
   /// A number from `least` to `most`. The bounds don't apply to the default value.
   double number(std::string_view word, double least, double most) const;
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -43,6 +43,7 @@
   void begin(Instant at) { begin_ = at; }
   /// Adds calls; they must be in order of time and not before those already planned.
   void plan(std::vector<PlannedCall> calls);
+  /// Adds one call, under the same condition.
   void plan(PlannedCall call);
 
   void receive(Instant now, iax2::Address from, std::span<const std::uint8_t> datagram) override;
@@ -51,7 +52,8 @@
 
   /// Sessions of one service by outcome. Once it is over, a session is in exactly one of `established` (answered within
   /// the post-dial target), `late` (answered after it), `refused` and `failed`. `aborted` counts how often an
-  /// established session was ended by the far end; the session is then dialled again.
+  /// established session was ended by the far end; the session is then dialled again. `attempts` counts call attempts,
+  /// redials included, and `answers` the answers to them.
   struct ServiceCounts {
     std::uint64_t offered = 0, established = 0, late = 0, refused = 0, failed = 0, aborted = 0, attempts = 0,
                   answers = 0;
@@ -72,6 +74,7 @@
   const std::vector<float>& delays() const { return delays_; }
   /// Sessions that are planned or not over yet.
   std::size_t activeSessions() const { return sessions_.size() + planned_.size(); }
+  /// Counters of the IAX2 endpoint that all callers share.
   const iax2::EndpointCounters& endpointCounts() const { return endpoint_.counts(); }
 
  private:
--- a/src/simulators/directory.hpp
+++ b/src/simulators/directory.hpp
@@ -27,7 +27,7 @@
   void setState(Instant now, int place, Readiness readiness, std::uint64_t incarnation, Span delay);
   /// Sets the number of circuits of a trunk group from now on; announced at once.
   void setGroupSize(Instant now, GroupSize group);
-  /// Sends nothing until then.
+  /// The directory sends nothing before `until`.
   void failUntil(Instant until) { failedUntil_ = until; }
 
  private:
--- a/src/simulators/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -30,7 +30,8 @@
 /// One exchange, behind the address of its processor.
 class SimulatedExchange final : public DatagramHandler, private iax2::CallListener {
  public:
-  /// `warm`: the processor has been running for at least its warm-up time.
+  /// `seed` is that of the random draws of the IAX2 endpoint; together with `now` it determines the incarnation. `warm`:
+  /// the processor has been running for at least its warm-up time.
   SimulatedExchange(ProcessorModel model, std::uint64_t seed, Instant now, bool warm);
 
   ~SimulatedExchange() override;
@@ -57,9 +58,11 @@
   struct Counters {
     std::uint64_t setUps = 0, established = 0, ended = 0, rejected = 0, linesBusy = 0, abandoned = 0, aborted = 0;
   };
+  /// Counts since this start of the processor.
   const Counters& counters() const { return counters_; }
   /// Whether the processor was overloaded while cold. It then neither receives nor sends anything any more.
   bool hasCollapsed() const { return collapsed_; }
+  /// Sessions that are established now.
   std::size_t establishedSessions() const { return established_; }
   /// Identifies this start of the processor.
   std::uint64_t incarnation() const { return incarnation_; }
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -49,8 +49,8 @@
 
 /// An established session that holds circuits of a budget.
 struct EstablishedSession {
-  std::size_t service = 0;
-  Instant since;
+  std::size_t service = 0;  // index of the service
+  Instant since;            // when its circuits were taken
 };
 /// Selects the sessions to end so that at least `circuits` become free: those of the lowest-value service first, of
 /// these the newest. Returns indexes into `sessions`, in that order; all of them if they do not suffice.
@@ -67,6 +67,7 @@
 /// next ones.
 class BudgetPart {
  public:
+  /// `services`: the profiles by index of the service. There are no bounds until setBounds() sets some.
   explicit BudgetPart(std::vector<ServiceProfile> services)
       : services_(std::move(services)),
         held_(services_.size()),
@@ -75,6 +76,7 @@
   /// Replaces the bounds. Circuits that are held stay held, also above the bounds. `std::nullopt`: no budget, so no
   /// bound.
   void setBounds(const std::optional<Bounds>& bounds);
+  /// Whether there are bounds.
   bool isBounded() const { return bounds_.has_value(); }
 
   /// Records that a session of this service has been requested, whether or not it is admitted.
@@ -90,7 +92,9 @@
   void seize(std::size_t service) { held_[service] += services_[service].width; }
   void release(std::size_t service) { held_[service] -= services_[service].width; }
 
+  /// The profiles by index of the service.
   const std::vector<ServiceProfile>& services() const { return services_; }
+  /// The present bounds; `std::nullopt`: no bound.
   const std::optional<Bounds>& bounds() const { return bounds_; }
   /// Circuits of the bounds; 0 without bounds.
   int circuits() const { return bounds_ ? bounds_->circuits : 0; }
@@ -117,18 +121,20 @@
 /// which service may use what is left. Periods are aligned to the zero of the clock.
 class Allowance {
  public:
+  /// `services`: the profiles by index of the service. There is no limit until setLimit() sets one.
   explicit Allowance(std::vector<ServiceProfile> services);
 
   /// Sets the limit and the length of the period; `std::nullopt`: no limit. What was used in the current period stays
   /// accounted for.
   void setLimit(Instant now, std::optional<double> circuitSeconds, Span period);
+  /// Whether there is a limit.
   bool isBounded() const { return limit_.has_value(); }
   /// Records that a session of this service has been requested, whether or not it is admitted.
   void recordRequest(Instant now, std::size_t service);
   /// Whether enough is left for a session of this service with the mean hold time, after the expected use by
   /// established sessions and, at the recently measured request rates, by higher-value services until the period ends.
   bool admits(Instant now, std::size_t service);
-  /// A session begins or ends.
+  /// Records that a session of this service takes or returns its circuits. seize() does not check the limit.
   void seize(Instant now, std::size_t service);
   void release(Instant now, std::size_t service);
 
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -30,7 +30,7 @@
   int zone = 0;                   // zone that the budget leads to
   std::uint64_t incarnation = 0;  // when the sender's process started, in microseconds on its own clock
   std::int64_t sentAt = 0;        // microseconds on the sender's clock; grows from message to message
-  std::int64_t echoedSentAt = 0;  // `sentAt` of the newest message that the sender has received from the receiver.
+  std::int64_t echoedSentAt = 0;  // `sentAt` of the newest message that the sender has received from the receiver
   // The sender as a lender.
   std::uint64_t grantSerial = 0;  // grows with each grant; 0: the sender does not know yet what it has lent
   Units granted;                  // total granted to the receiver under `grantSerial`
@@ -74,7 +74,9 @@
   /// an earlier incarnation of this office are over and, with lending, until all peers have reported what they hold of
   /// it or a lease term has passed.
   void beginStartupWait(Instant now);
+  /// Whether there is a budget.
   bool isBounded() const { return budget_.has_value(); }
+  /// The whole budget, of which this office has a part; `std::nullopt` if there is none.
   const std::optional<Budget>& budget() const { return budget_; }
 
   /// Whether a session of this service may use circuits of the budget now. Also records that it was requested.
@@ -94,8 +96,9 @@
   /// When process() is to be called next.
   Instant nextDeadline() const;
 
-  /// For the controller and reports.
+  /// This office's part of the circuits, for the controller and reports.
   const BudgetPart& part() const { return part_; }
+  /// This office's part of the circuit-seconds, for the controller and reports.
   Allowance& allowance() { return allowance_; }
   /// Circuits that this office owns, whether or not they are lent.
   int owned() const { return own_.empty() ? 0 : own_[0]; }
@@ -111,6 +114,7 @@
     updateTotals(lastProcessedAt_);
     return totals_.writtenOff[0];
   }
+  /// Whether the owned part is not used yet because the wait that beginStartupWait() began is not over.
   bool inStartupWait() const { return inStartupWait_; }
   /// Circuits of established sessions that are to be ended now, as the budget's overrun policy demands.
   int circuitsToEnd(Instant now) const;
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -77,6 +77,7 @@
   const UsageTotals& total() const { return total_; }
   /// Circuits held now.
   int held() const { return held_; }
+  /// Sums by second, by minute and by hour; intervals are numbered from the zero of the clock.
   const Ring<300>& seconds() const { return seconds_; }
   const Ring<240>& minutes() const { return minutes_; }
   const Ring<192>& hours() const { return hours_; }
@@ -107,6 +108,7 @@
  public:
   /// The cell for `key`, which is created if there is none.
   UsageCell& cell(const UsageKey& key);
+  /// All cells that have been created.
   const std::map<UsageKey, std::unique_ptr<UsageCell>>& cells() const { return cells_; }
   /// Adds the circuit time of all cells up to `now`.
   void accrue(Instant now);
