--- a/tests/program/fleet_fixture.hpp
+++ b/tests/program/fleet_fixture.hpp
@@ -58,6 +58,7 @@
 /// sends no ACCEPT by itself.
 class TestPhone final : public DatagramHandler, private iax2::CallListener, private iax2::CallOwner {
  public:
+  /// All random draws of the IAX2 endpoint come from `seed`.
   explicit TestPhone(std::uint64_t seed) : endpoint_(*this, seed) {}
 
   /// Opens a call to the office at `to`; `limit` is the time left that the NEW carries.
@@ -81,6 +82,7 @@
     endpoint_.flush(now, out);
   }
   Instant nextDeadline() const override { return endpoint_.nextDue(); }
+  /// The IAX2 endpoint that carries the phone's calls.
   iax2::Endpoint& endpoint() { return endpoint_; }
 
   /// Frames received of one name, as iax2::name() has it.
@@ -90,12 +92,12 @@
   }
   /// Frames received that answer or end a call.
   int finalResponses() const { return count("ANSWER") + count("REJECT") + count("HANGUP"); }
-  std::deque<iax2::Call*> incomingCalls;  // received and not yet ended
-  std::deque<iax2::Call*> outgoingCalls;  // opened here and not yet ended
-  std::uint64_t lastSession = 0;          // session number of the NEW received last
-  std::uint8_t lastCause = 0;             // cause code received last
-  iax2::CallEnd lastCallEnd = iax2::CallEnd::localHangUp;
-  int endedCalls = 0;
+  std::deque<iax2::Call*> incomingCalls;                   // received and not yet ended
+  std::deque<iax2::Call*> outgoingCalls;                   // opened here and not yet ended
+  std::uint64_t lastSession = 0;                           // session number of the NEW received last
+  std::uint8_t lastCause = 0;                              // cause code received last
+  iax2::CallEnd lastCallEnd = iax2::CallEnd::localHangUp;  // how the call that ended last has ended
+  int endedCalls = 0;                                      // in both directions
 
  private:
   void onIncomingCall(iax2::Call& call, const iax2::Frame& frame) override {
@@ -126,6 +128,8 @@
 /// findings() audits. Datagrams take 5 ms unless `impairment` is set.
 class FleetFixture {
  public:
+  /// `make` makes the controllers of the offices. The capture is a file in the temporary folder, named after
+  /// `captureName` and the process, which the destructor removes.
   explicit FleetFixture(Fleet fleet, ControllerFactory make = makeController, const std::string& captureName = "fleet")
       : path_((std::filesystem::temp_directory_path() /
                ("thistlefold-" + captureName + "-" + std::to_string(::getpid()) + ".pcapng"))
@@ -177,13 +181,16 @@
   }
   /// The exchange that runs at `place` now.
   SimulatedExchange& exchange(int place) { return *exchanges_[static_cast<std::size_t>(place)]; }
+  /// The simulated directory, which takes part only if start() has attached it.
   SimulatedDirectory& directory() { return directory_; }
   /// Makes the directory report that the processor with that incarnation has this readiness.
   void setListedReadiness(int place, Readiness readiness, std::uint64_t incarnation) {
     directory_.setState(testbed_->now(), place, readiness, incarnation, Span::none());
     testbed_->wakeUp(day::kDirectoryIdentity);
   }
+  /// The virtual testbed that carries the fleet.
   day::Testbed& testbed() { return *testbed_; }
+  /// The testbed's virtual clock.
   Instant now() const { return testbed_->now(); }
   /// Lets `ms` milliseconds of virtual time pass.
   void run(double ms) { testbed_->runUntil(testbed_->now() + Span::ms(ms)); }
@@ -194,6 +201,7 @@
     note((frozen ? "freeze " : "thaw ") + testbed_->fleet().places[static_cast<std::size_t>(place)].name);
     testbed_->freezeOffice(place, frozen);
   }
+  /// Address of the office at `place`.
   iax2::Address office(int place) const { return testbed_->fleet().places[static_cast<std::size_t>(place)].office; }
   /// A number from an office's status report.
   std::int64_t statusField(int place, const std::string& field) {
@@ -214,6 +222,7 @@
     capture_.close();
     return audit::audit(testbed_->fleet(), path_, testbed_->tolerance());
   }
+  /// Path of the capture file.
   const std::string& path() const { return path_; }
 
   /// Delays of the copies of each datagram; none: it is lost.
@@ -248,6 +257,7 @@
 /// time. With `sendTwice` it sends two INVITEs at a time; with `neverAnswer` it neither sends nor answers any session.
 class RogueController final : public Controller {
  public:
+  /// Which rules the controller breaks, in addition to the disregard of lists, capacity and release time.
   struct Faults {
     bool sendTwice = false, neverAnswer = false;
   };
@@ -296,6 +306,7 @@
   std::vector<Session*> undecided_;
 };
 
+/// A factory that makes a RogueController for each office.
 inline ControllerFactory rogueController(RogueController::Faults faults = {}) {
   return [faults](const OfficeConfig&, std::uint64_t) { return std::make_unique<RogueController>(faults); };
 }
--- a/tests/wire_judge.hpp
+++ b/tests/wire_judge.hpp
@@ -41,6 +41,7 @@
 
   int violations[6] = {};      // by rule, 1 to 5
   std::string firstViolation;  // description, empty if there is none
+  // Sessions that offices received, INVITEs that they sent, and final answers of offices and far ends.
   int sessions = 0, invites = 0, finals = 0;
 
  private:
