--- a/src/command/host.hpp
+++ b/src/command/host.hpp
@@ -21,8 +21,11 @@
   explicit Host(iax2::Address listen)
       : clock_(net::makeRealClock(context_.get_executor())), port_(net::bindPort(context_.get_executor(), listen)) {}
 
+  /// The real-time clock. It and the socket live as long as the host.
   net::Clock& clock() { return *clock_; }
+  /// The bound socket.
   net::RealPort& port() { return *port_; }
+  /// The event loop, which runs only during run().
   boost::asio::io_context& context() { return context_; }
   /// Runs the handler. Exists only during run().
   net::DatagramRunner& runner() { return *runner_; }
@@ -41,7 +44,7 @@
     runner_.reset();
     context_.restart();
     context_.poll();
-    if (!failure.empty()) throw std::runtime_error("stopped by an error: " + failure);
+    if (!failure.empty()) throw std::runtime_error("terminated by an exception: " + failure);
   }
   /// Makes run() return.
   void stop() { context_.stop(); }
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -22,13 +22,13 @@
     {"processor", "(processor ...)", "-", "the exchanges' processors"},
     {"network", "(network ...)", "-", "delays and loss that are present all day"},
     {"notice", "milliseconds", "2000", "from a change of an exchange to its announcement"},
-    {"at", "(at TIME (FAULT ...))", "", "a fault that is injected; several"},
+    {"at", "(at TIME (FAULT ...))", "", "a fault that is injected; repeatable"},
 };
 constexpr std::string_view kDayRepeatable[] = {"at"};
 
 constexpr Keyword kCallers[] = {
     {"rate", "sessions a second", "30", "first call attempts of all callers together"},
-    {"share", "(share SERVICE NUMBER)", "", "weight of a service; 1 where not given; several"},
+    {"share", "(share SERVICE NUMBER)", "", "weight of a service; 1 where not given; repeatable"},
     {"shape", "steady, wave or ramp", "steady", "how the rate changes over the day"},
     {"swing", "a share", "0.2", "wave and ramp go this far above and below the rate"},
     {"pair-spread", "a number", "0.5", "how unequal destinations are"},
