--- a/src/simulators/exchange.hpp
+++ b/src/simulators/exchange.hpp
@@ -30,8 +30,8 @@
 /// One exchange, behind the address of its processor.
 class SimulatedExchange final : public DatagramHandler, private iax2::CallListener {
  public:
-  /// `seed` is that of the random draws of the IAX2 endpoint; together with `now` it determines the incarnation. `warm`:
-  /// the processor has been running for at least its warm-up time.
+  /// `seed` is that of the random draws of the IAX2 endpoint; together with `now` it determines the incarnation.
+  /// `warm`: the processor has been running for at least its warm-up time.
   SimulatedExchange(ProcessorModel model, std::uint64_t seed, Instant now, bool warm);
 
   ~SimulatedExchange() override;
