--- a/src/settings/form.hpp
+++ b/src/settings/form.hpp
@@ -84,8 +84,9 @@
 class Fields {
  public:
   /// Reads the items of `list` from index `from` on. A keyword may occur once, those in `repeatable` any number of
-  /// times. Throws SettingsError for a keyword that is not in the vocabulary (the message names the nearest one), that
-  /// occurs too often, or that is required and missing. Keywords in `repeatable` are never required.
+  /// times. Throws SettingsError for an item that is not a list with a keyword, and for a keyword that is not in the
+  /// vocabulary (the message names the nearest one), that occurs too often, or that is required and missing. Keywords
+  /// in `repeatable` are never required.
   Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
          std::span<const std::string_view> repeatable = {});
 
--- a/src/simulators/callers.hpp
+++ b/src/simulators/callers.hpp
@@ -64,7 +64,7 @@
   /// Sessions of all services first dialled in one second.
   struct SecondCounts {
     double value = 0, earned = 0;
-    std::uint64_t offered = 0, established = 0;
+    std::uint64_t offered = 0, established = 0;  // `established`: late ones included
   };
   /// By second since `begin`.
   const std::vector<SecondCounts>& seconds() const { return seconds_; }
--- a/src/zones/budget.hpp
+++ b/src/zones/budget.hpp
@@ -86,7 +86,8 @@
   /// that other services need to reach their guarantees. Above its own guarantee it is also refused while fewer
   /// circuits are free than the widest service takes, so that narrow sessions do not use up what a wide one needs: all
   /// widths are refused in the same states. In addition to those, the circuits of one session of a higher-value
-  /// service must stay free. Both rules consider only services that were requested recently.
+  /// service must stay free, unless the bounds hold only a few sessions of the widest service. Both rules consider only
+  /// services that were requested recently.
   bool admits(Instant now, std::size_t service) const;
   /// Takes or returns the circuits of one session. seize() does not check the bounds.
   void seize(std::size_t service) { held_[service] += services_[service].width; }
--- a/src/zones/lease.hpp
+++ b/src/zones/lease.hpp
@@ -88,7 +88,8 @@
   /// Records that a session was refused for lack of circuits, which raises what is requested from lenders.
   void recordRefusal(Instant now, std::size_t service);
 
-  /// Handles a message. Returns false, with nothing changed, if it is not from a peer or is malformed.
+  /// Handles a message. Returns false, with nothing changed, if it is not from a peer, is about another zone or is
+  /// malformed, or if there is no budget.
   bool receive(Instant now, const LeaseMessage& message);
   /// Handles everything that has become due, such as leases that have lapsed, and returns the messages to send now,
   /// each with the place of its receiver.
--- a/src/zones/ledger.hpp
+++ b/src/zones/ledger.hpp
@@ -56,8 +56,8 @@
   std::uint64_t newest_ = 0;
 };
 
-/// The usage of one kind of leg. Takes constant memory, about 23 kB: five minutes by second, four hours by minute and
-/// eight days by hour.
+/// The usage of one kind of leg: five minutes by second, four hours by minute and eight days by hour. Takes constant
+/// memory: 732 buckets of five 64-bit sums, about 29 kB.
 class UsageCell {
  public:
   /// An INVITE was sent for a leg that holds `circuits` until released().
