--- a/src/settings/form.hpp
+++ b/src/settings/form.hpp
@@ -33,6 +33,7 @@
   /// Name of the file, owned by the Document that the form was read from.
   const std::string* file = nullptr;
 
+  /// Whether the form is a list and not an atom.
   bool isList() const { return kind == Kind::list; }
   /// The first word of a list; empty for an atom and for a list that doesn't begin with a word. Valid as long as the
   /// form.
@@ -83,11 +84,13 @@
 class Fields {
  public:
   /// Reads the items of `list` from index `from` on. A keyword may occur once, those in `repeatable` any number of
-  /// times. Throws SettingsError for a keyword that is not in the vocabulary (the message names the nearest one), that
-  /// occurs too often, or that is required and missing. Keywords in `repeatable` are never required.
+  /// times. Throws SettingsError for an item that is not a list with a keyword, and for a keyword that is not in the
+  /// vocabulary (the message names the nearest one), that occurs too often, or that is required and missing. Keywords
+  /// in `repeatable` are never required.
   Fields(const Form& list, std::size_t from, std::span<const Keyword> vocabulary,
          std::span<const std::string_view> repeatable = {});
 
+  /// Whether the list has a field with this keyword.
   bool has(std::string_view word) const { return find(word) != nullptr; }
   /// A number from `least` to `most`. The bounds don't apply to the default value.
   double number(std::string_view word, double least, double most) const;
