--- a/src/command/zones.cpp
+++ b/src/command/zones.cpp
@@ -215,7 +215,7 @@
         std::cout << "  " << one.at("used").to_number<double>() << " of " << one.at("allowance").to_number<double>()
                   << ", next in " << number("next_period_in_ms") / 1000 << " s";
       }
-      if (one.at("waiting").as_bool()) std::cout << "  waiting for the other offices of its zone";
+      if (one.at("waiting").as_bool()) std::cout << "  waits for its zone's offices";
       std::cout << '\n';
       auto& sum = sums[{from, to}];
       for (std::size_t i = 1; i < sum.size(); ++i) sum[i] += numbers[i];
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -1085,7 +1085,7 @@
 
 /// Handles a peer that was restarted and has lost its sessions, or that has been silent for too long.
 void Office::onPeerLost(Peer& peer, bool restarted) {
-  notifyObserver(OfficeEvent::Kind::peerLost, nullptr, &peer, restarted ? "restarted" : "silent");
+  notifyObserver(OfficeEvent::Kind::peerLost, nullptr, &peer, restarted ? "started anew" : "silent");
   peer.isSilent = !restarted;
   // The capacity was reported by the earlier incarnation.
   if (&peer == ownExchange_) ownExchange_->processorCapacity = -1;
